--- a/include/masticcourse/gateway/gateway.hpp
+++ b/include/masticcourse/gateway/gateway.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// The gateway: serves callers on one address, tells its readiness on another, and keeps up with the
-/// operator's configuration and the registry of targets. All of it runs on the one thread that runs its
-/// context.
+/// The gateway: serves callers on one address, reports readiness on another, and follows the operator's
+/// configuration and the target registry. Not thread-safe: everything runs on the single thread that runs its
+/// io_context.
 #pragma once
 
 #include "masticcourse/gateway/gateway_request.hpp"
@@ -28,28 +28,28 @@
 
 struct gateway_options
 {
-    /// Where callers connect, "ip:port".
+    /// Listen address for callers, "ip:port".
     std::string frontend_address;
-    /// Where the balancer asks whether this process takes callers.
+    /// Listen address for the load balancer's readiness probe.
     std::string readiness_address;
-    /// The balancer's question.
+    /// Request path of the readiness probe.
     std::string readiness_path;
-    /// Where counters and histograms are read; empty serves none.
+    /// Listen address for the metrics endpoint; empty disables it.
     std::string metrics_address;
-    /// Where other gateways reach this one.
+    /// Address at which peer gateways reach this one.
     std::string peer_address;
     failure_domain_name own_domain;
-    /// Memory for turns.
+    /// Size of the turn cache.
     std::size_t cache_bytes = 0;
-    /// The most that one row of the store holds.
+    /// Maximum size of one row of the store.
     std::size_t row_bytes = 0;
-    /// From the order to stop until the process is killed.
+    /// Time between the stop signal and the moment the process is killed.
     milliseconds stop_grace{};
-    /// How far requests of a workspace may exceed its quota.
+    /// How far a workspace's requests may exceed its quota.
     quota_rule quota;
 };
 
-/// Why a row can't be read, in words.
+/// Why a row could not be decoded.
 struct row_decode_error
 {
     std::string message;
@@ -58,12 +58,13 @@
 template <typename Content>
 using row_decode_result = std::variant<Content, row_decode_error>;
 
-/// How the operator's and the targets' rows are read. Anybody may have written them.
+/// Decoders for configuration and target rows. Rows are untrusted input: any client of the store may have
+/// written them.
 struct table_decoders
 {
     std::string config_table;
     std::string target_table;
-    /// @return nothing if the row is not the configuration
+    /// @return nothing if the row is not the configuration row
     std::function<std::optional<row_decode_result<gateway_config>>(const stored_row&)> decode_config;
     std::function<row_decode_result<target_record>(const stored_row&)> decode_target;
 };
@@ -81,27 +82,28 @@
 
     void start();
 
-    /// Stops gracefully: turns the balancer away, answers what still comes, then calls @a on_stopped.
+    /// Shuts down gracefully: reports not ready, serves the requests that still arrive, then calls
+    /// @a on_stopped.
     void stop(std::function<void()> on_stopped);
 
-    /// Where peers send the commits that this gateway collects.
+    /// Path to which peers send the commits that this gateway batches.
     static constexpr const char* commit_path = "/commits";
-    /// Serves a peer's request to that path.
+    /// Handles a peer's request to commit_path.
     void serve_commits(const http_request& request, const std::shared_ptr<http_exchange>& exchange);
 
-    /// Where peers ask for rows that this gateway remembers.
+    /// Path at which peers look up rows in this gateway's row cache.
     static constexpr const char* row_lookup_path = "/rows";
-    /// Serves a peer's request to that path.
+    /// Handles a peer's request to row_lookup_path.
     void serve_row_lookup(const http_request& request, const std::shared_ptr<http_exchange>& exchange);
 
-    /// Where peers ask for overdrafts that this gateway may allow.
+    /// Path at which peers request overdrafts that this gateway may grant.
     static constexpr const char* overdraft_path = "/overdraft";
-    /// Serves a peer's request to that path.
+    /// Handles a peer's request to overdraft_path.
     void serve_overdraft(const http_request& request, const std::shared_ptr<http_exchange>& exchange);
 
-    /// Where peers ask for portions of quotas that this gateway holds slices of.
+    /// Path at which peers request portions of the quota slices held by this gateway.
     static constexpr const char* quota_path = "/quota";
-    /// Serves a peer's request to that path.
+    /// Handles a peer's request to quota_path.
     void serve_quota(const http_request& request, const std::shared_ptr<http_exchange>& exchange);
 
   private:
--- a/include/masticcourse/gateway/gateway_request.hpp
+++ b/include/masticcourse/gateway/gateway_request.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What a caller asks of the gateway, what a target answers, and what the gateway answers by itself, apart
-/// from how the wire spells it.
+/// Protocol-independent representation of callers' requests, targets' responses and the gateway's own
+/// refusals.
 #pragma once
 
 #include "masticcourse/core/ids.hpp"
@@ -21,68 +21,68 @@
 namespace masticcourse::gateway
 {
 
-/// What a request says of the program that it belongs to.
+/// The program that a request belongs to, as stated by the request.
 struct program_context
 {
     program_id program;
-    /// The tokens that all turns of the program may generate; empty on requests that generate none. Whether
-    /// turns are kept is another matter: it follows from the route.
+    /// Token budget of the whole program; empty on requests that generate no tokens. Independent of whether
+    /// turns are stored, which the route determines.
     std::optional<token_count> budget;
-    /// The most tokens that this turn generates.
+    /// Maximum number of tokens that this turn generates.
     token_count max_tokens = 0;
-    /// The turn that it goes on from.
+    /// The turn that this one continues.
     std::optional<request_id> previous_turn;
 };
 
-/// One attempt of a caller.
+/// One request from a caller. A caller's retry is a separate request.
 struct gateway_request
 {
-    /// New with each attempt.
+    /// Unique for each of the caller's attempts.
     request_id id;
     std::string method;
-    /// Path and query, as they came.
+    /// Path and query, as received.
     std::string target;
     std::string host;
     std::string body;
-    /// Those that go on to the target as they came.
+    /// Headers forwarded to the target unchanged.
     std::vector<http_header> headers;
-    /// How long the caller waits.
+    /// How long the caller waits for the response.
     std::optional<milliseconds> timeout;
-    /// Names the object that the request is about; empty if none is named.
+    /// Identifies the object that the request concerns, for sticky routes; empty if the request names none.
     std::string affinity_key;
-    /// The last event that the caller has of a stream that broke off; the answer goes on behind it.
+    /// Id of the last event that the caller received of an interrupted stream; the response resumes after it.
     std::optional<std::string> last_event_id;
     std::optional<program_context> program;
-    /// What the caller shows to be let in; empty if it shows nothing.
+    /// The caller's credential; empty if it sent none.
     std::string access_key;
-    /// Set once the key is known to be a workspace's.
+    /// Set once the access key has been resolved to a workspace.
     workspace_id workspace;
 };
 
-/// Why the gateway answers by itself.
+/// Why the gateway refuses a request.
 enum class refusal_reason : std::uint8_t
 {
     malformed,
-    /// No configuration has been read since the start.
+    /// No configuration has been read since start-up.
     no_configuration,
     no_route,
-    /// The key opens no workspace.
+    /// The access key belongs to no workspace.
     unknown_key,
-    /// The key is not known, and whether the configuration is the newest one is not known either.
+    /// The access key is not in the current configuration, which may be outdated.
     key_undecided,
-    /// The workspace has sent as much as its quota allows.
+    /// The workspace has used up its quota.
     over_quota,
-    /// No gateway that hands out the workspace's quota can be asked.
+    /// No gateway that holds a slice of the workspace's quota is reachable.
     quota_undecided,
     no_such_turn,
-    /// A turn that is kept can't go on from a broken answer that another process handed out.
+    /// A stored turn can't resume an interrupted response, whose start may have been sent by another process.
     not_resumable,
     over_budget,
-    /// The store that keeps turns and budgets can't be reached.
+    /// The store that holds turns and budgets is unreachable.
     store_away,
     no_target,
     targets_full,
-    /// The target's answer is missing, broken or none.
+    /// The target's response is missing, incomplete or invalid.
     target_failed,
     deadline_passed,
 };
@@ -93,22 +93,22 @@
 {
     refusal_reason reason = refusal_reason::malformed;
     ran_state ran = ran_state::no;
-    /// For people.
+    /// Human-readable explanation.
     std::string detail;
     std::optional<milliseconds> retry_after;
 };
 
-/// The head of a target's answer.
+/// Status and headers of a target's response.
 struct target_response_head
 {
     int status = 0;
-    /// Those that go on to the caller as they came.
+    /// Headers forwarded to the caller unchanged.
     std::vector<http_header> headers;
-    /// The target states that it did not run the request.
+    /// The target states that it did not execute the request.
     bool not_executed = false;
-    /// The life of the target that was meant has ended: another one has its address. Implies `not_run`.
+    /// The addressed target instance is gone and another one uses its address. Implies `not_executed`.
     bool instance_replaced = false;
-    /// The answer bears the mark by which callers know a target's own.
+    /// The response carries the signature by which callers recognise a target's own responses.
     bool authentic = false;
     std::optional<target_load_report> load;
 
@@ -119,7 +119,7 @@
     }
 };
 
-/// How requests and answers are spelled. The adapter in `platform/` knows.
+/// Wire format of requests and responses; implemented by the adapter in `platform/`.
 class gateway_protocol
 {
   public:
@@ -132,15 +132,16 @@
 
     [[nodiscard]] virtual std::variant<gateway_request, refusal> decode(http_request request) const = 0;
 
-    /// @param body      what the target is to read
-    /// @param time_left how long the target may take
+    /// @param body      request body to send to the target
+    /// @param time_left time in which the target must respond
     [[nodiscard]] virtual http_client_request encode(const gateway_request& request, std::string body,
                                                      const target_record& target,
                                                      milliseconds time_left) const = 0;
 
     [[nodiscard]] virtual target_response_head decode(const http_client_reply& reply) const = 0;
 
-    /// @return whether an answer belongs to the request, and not to one before on the same connection
+    /// @return whether a response belongs to the request, rather than to an earlier one on the same
+    /// connection
     [[nodiscard]] virtual bool is_response_to(const http_client_reply& reply, const request_id& id) const = 0;
 
     [[nodiscard]] virtual http_response encode(const refusal& refusal) const = 0;
--- a/include/masticcourse/gateway/request_forwarding.hpp
+++ b/include/masticcourse/gateway/request_forwarding.hpp
@@ -1,12 +1,12 @@
 /// @file
-/// One request on its way through the gateway: from the caller to a target and back.
+/// Forwards one request from the caller to a target and the response back.
 ///
-/// - A request that may have run is sent again only if its route says that it may run twice.
-/// - A request with a budget is preceded by a reservation of it; no token is handed out before that is
-/// durable, but for what an overdraft allows.
-/// - The end of a turn is handed out when the turn is durable.
-/// - A request of a workspace with a quota is sent with a permit that is still valid at that moment, each
-/// time that it may run.
+/// - A request that may have been executed is retried only if its route allows repeated execution.
+/// - For a request with a budget, the tokens are reserved first. No token is sent to the caller before the
+/// reservation is durable, except within a granted overdraft.
+/// - The end of a turn is sent to the caller once the turn is durable.
+/// - A request of a workspace with a quota is sent only with a permit that is valid at that moment. Each
+/// possible execution needs its own permit.
 #pragma once
 
 #include "masticcourse/gateway/gateway_request.hpp"
@@ -24,11 +24,11 @@
 namespace masticcourse::gateway
 {
 
-/// Sends a request to a target and hands its answer on piece by piece; see http_client::open_stream().
+/// Sends a request to a target and delivers the response in chunks; see http_client::open_stream().
 using open_stream_function = std::function<std::shared_ptr<http_stream>(
     http_client_request, http_chunk_callback, http_reply_callback)>;
 
-/// What a request on its way uses. All of it outlives every request.
+/// Dependencies of request forwarding. They must outlive every request.
 struct forwarding_services
 {
     open_stream_function open_stream;
@@ -44,22 +44,22 @@
     failure_domain_name own_domain;
 };
 
-/// How a request ended, for counters and logs.
+/// How a request ended, for metrics and logs.
 enum class request_outcome : std::uint8_t
 {
     answered,
     refused,
-    /// The answer was begun and could not be finished.
+    /// The response was started but could not be completed.
     broken_off,
-    /// The caller left.
+    /// The caller closed the connection.
     cancelled,
 };
 
 [[nodiscard]] std::string_view to_string(request_outcome outcome);
 
-/// Starts a request; it lives until it is answered or its caller is gone.
-/// @param config  in force when the request came; kept until its end
-/// @param on_end  called once
+/// Starts forwarding a request, which lives until it is answered or its caller disconnects.
+/// @param config      configuration in force on arrival; used until the request ends
+/// @param on_finished called exactly once
 void forward_request(forwarding_services& services, config_ptr config, gateway_request request,
                      std::shared_ptr<http_exchange> exchange,
                      std::function<void(request_outcome)> on_finished);
--- a/include/masticcourse/gateway/stream_progress.hpp
+++ b/include/masticcourse/gateway/stream_progress.hpp
@@ -1,10 +1,10 @@
 /// @file
-/// How far a streamed answer has come, over all targets that made parts of it.
+/// Progress of a streamed response across all targets that produced parts of it.
 ///
-/// A stream that may be resumed is handed on in whole events only: whatever its target breaks off in is
-/// dropped, and the next target goes on behind the last whole event. So no event is missing, comes twice, or
-/// is joined from two runs. Streams that draw on a budget are handed on so too, and counted. Others are
-/// handed on byte by byte.
+/// A resumable stream is forwarded in complete events only: an event that its target leaves incomplete is
+/// discarded, and the next target resumes after the last complete one. So no event is lost, duplicated or
+/// spliced from two attempts. Streams with a budget are forwarded in the same way, so that their events can
+/// be counted. Other streams are forwarded as raw bytes.
 #pragma once
 
 #include "masticcourse/core/ids.hpp"
@@ -18,12 +18,12 @@
 namespace masticcourse::gateway
 {
 
-/// How pieces of a stream are handed on.
+/// Unit in which a stream is forwarded.
 enum class stream_granularity : std::uint8_t
 {
-    /// As they come.
+    /// Chunks as received.
     bytes,
-    /// In whole events.
+    /// Complete events only.
     whole_events,
 };
 
@@ -31,40 +31,41 @@
 {
   public:
     explicit stream_progress(stream_granularity granularity);
-    // The parser's callback refers to this object.
+    // The parser's callback captures `this`.
     stream_progress(const stream_progress&) = delete;
     stream_progress(stream_progress&&) = delete;
     stream_progress& operator=(const stream_progress&) = delete;
     stream_progress& operator=(stream_progress&&) = delete;
     ~stream_progress() = default;
 
-    /// Another target goes on: what the one before left unfinished is dropped.
+    /// Starts an attempt at another target; discards the previous target's incomplete event.
     void begin_attempt();
 
-    /// Takes the next piece of the present run.
-    /// @return what may be handed out now; nothing if the run can't be used: an event is too long, or it does
-    /// not go on where the one before it ended
+    /// Processes the next chunk of the current attempt.
+    /// @return the output that may be forwarded now; nothing if the attempt is unusable because an event is
+    /// too long or does not follow the previous one
     [[nodiscard]] std::optional<std::string> feed(std::string_view chunk);
 
-    /// @return what is left behind the last whole event, once the run has ended as it should
+    /// @return the bytes after the last complete event, once the attempt has ended regularly
     [[nodiscard]] std::string take_remainder();
 
-    /// Whole events so far.
+    /// Number of complete events so far.
     [[nodiscard]] token_count event_count() const
     {
         return m_event_count;
     }
-    /// The data of the events so far, each with a line feed behind it.
+    /// Data of all events so far, each followed by a line feed.
     [[nodiscard]] const std::string& event_data() const
     {
         return m_event_data;
     }
-    /// @return the id of the last whole event, if it has one
+    /// @return the id of the last complete event, if it has one
     [[nodiscard]] const std::optional<std::string>& last_event_id() const
     {
         return m_last_event_id;
     }
-    /// Whether another target can go on without loss: nothing has been taken yet, or it is known behind what.
+    /// Whether another target can resume without loss: either no event has been received, or the last one has
+    /// an id.
     [[nodiscard]] bool can_resume() const
     {
         return m_event_count == 0 || m_last_event_id.has_value();
@@ -75,12 +76,12 @@
 
     stream_granularity m_granularity;
     std::optional<sse_parser> m_parser;
-    /// Bytes of an event that is not whole yet.
+    /// Bytes of an incomplete event.
     std::string m_partial;
     std::string m_event_data;
     token_count m_event_count = 0;
     std::optional<std::string> m_last_event_id;
-    /// An event of the present run repeats one that came before.
+    /// The current attempt repeated an event that was already received.
     bool m_out_of_order = false;
 };
 
--- a/src/gateway/forwarded_request.cpp
+++ b/src/gateway/forwarded_request.cpp
@@ -1,4 +1,4 @@
-// A request from its arrival until a target is chosen.
+// Admission and preparation of a request, up to the choice of a target.
 #include "forwarded_request.hpp"
 
 #include "masticcourse/gateway/access/access_control.hpp"
@@ -43,14 +43,15 @@
         });
     if (is_retained() && m_route->resumable && m_request.last_event_id)
     {
-        // What the caller has of the broken turn is not known here, so the whole turn could not be kept.
+        // The events that the caller already has are not known here, so the complete turn could not be
+        // stored.
         refuse(refusal_reason::not_resumable, ran_state::no, "a turn that is kept starts from its beginning",
                milliseconds{0});
         return;
     }
     if (m_quota_workspace != nullptr)
     {
-        // Looked at before anything else is done for the request.
+        // The quota is checked before any other work is done for the request.
         acquire_permit(&forwarded_request::begin);
         return;
     }
@@ -118,7 +119,7 @@
 
 bool forwarded_request::authorize()
 {
-    // While the store is away, a newer configuration may be in force elsewhere.
+    // While the store is unreachable, other gateways may already use a newer configuration.
     const bool current = m_services.store.reachable();
     const auto access = check_access(*m_config, *m_route, m_request.access_key, current);
     m_request.access_key.clear();
@@ -227,9 +228,10 @@
                store_unavailable_retry_after);
         return;
     }
-    // While the store is away, a turn that surely has the budget runs all the same: its events and its end
-    // wait for the store's return. A program ends with its third failed turn; ones that wait last out longer
-    // outages than ones that are refused, and go on the moment the store is back.
+    // While the store is unreachable, a turn that certainly fits the budget still runs; its events and its
+    // end are held back until the store is reachable again. A program ends with its third failed turn.
+    // Programs whose turns wait survive longer outages than programs whose turns are refused, and continue as
+    // soon as the store returns.
     m_reservation = reservation_state::pending;
     m_services.spending.reserve(reservation, [self = shared_from_this()](reservation_outcome outcome)
                                 { self->on_reservation_result(outcome); });
@@ -306,7 +308,7 @@
     case reservation_outcome::over_budget:
         if (sent)
         {
-            // The target is at work: "not run" would not be true any more.
+            // The request has been sent to a target, so it can no longer be reported as not executed.
             refuse(refusal_reason::target_failed, ran_state::unknown, "the budget went elsewhere meanwhile");
             return;
         }
--- a/src/gateway/forwarded_request.hpp
+++ b/src/gateway/forwarded_request.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The state of one request on its way.
+/// State machine of one forwarded request.
 #pragma once
 
 #include "masticcourse/gateway/request_forwarding.hpp"
@@ -13,14 +13,14 @@
 namespace masticcourse::gateway::detail
 {
 
-/// When a caller may come back that the store's absence turned away. Its outages last seconds: as late as
-/// callers honour, a third of the time that they have left.
+/// Retry-After for requests refused because the store is unreachable. Store outages last seconds, so this is
+/// as long as callers honour: up to a third of their remaining time, about a second.
 inline constexpr milliseconds store_unavailable_retry_after{1'000};
 
-/// Where the budget that a request draws on stands.
+/// State of the token reservation of a request.
 enum class reservation_state : std::uint8_t
 {
-    /// The request states no budget.
+    /// The request has no budget.
     not_needed,
     pending,
     granted,
@@ -36,12 +36,12 @@
     void start();
 
   private:
-    /// @name Before a target is chosen
+    /// @name Admission and preparation
     /// @{
     void set_deadline();
-    /// Lets the caller in, or refuses it.
+    /// Checks the access key; refuses the request if it is not valid.
     [[nodiscard]] bool authorize();
-    /// From here on, what the request names belongs to its workspace.
+    /// Assigns the request to its workspace and qualifies its program and turn ids with the workspace's name.
     void set_workspace(const workspace& owner);
     void begin();
     void start_budgeted_turn();
@@ -51,33 +51,33 @@
     void on_reservation_result(reservation_outcome outcome);
     /// @}
 
-    /// @name Ahead of the reservation
+    /// @name Overdraft: output before the reservation is durable
     /// @{
-    /// Asks for an overdraft if the reservation takes longer than on a calm day.
+    /// Requests an overdraft if the reservation takes longer than it does under normal conditions.
     void schedule_overdraft();
     void request_overdraft();
     void on_overdraft_result(token_count granted);
-    /// The request has ended: what it handed out is settled with the budget, and with the overdraft if it was
-    /// handed out ahead.
+    /// Called when the request ends: settles the tokens sent to the caller with the budget, and with the
+    /// overdraft if they were sent before the reservation was durable.
     void settle_budget();
-    /// Whether all that has come may be handed out before the reservation is durable.
+    /// Whether all output so far may be sent to the caller before the reservation is durable.
     [[nodiscard]] bool within_overdraft() const;
     [[nodiscard]] token_count tokens_per_event() const;
     /// @}
 
-    /// @name The workspace's quota
+    /// @name Workspace quota
     /// @{
-    /// Asks for a permit and then takes the step; refuses the request if there is none.
+    /// Requests a permit, then calls @a handler; refuses the request if no permit is granted.
     void acquire_permit(void (forwarded_request::*handler)());
     void refuse_for_quota(const quota_refusal& refusal);
     [[nodiscard]] bool has_permit() const;
-    /// Whether the request is the first of its program.
+    /// Whether the request is the first one of its program.
     [[nodiscard]] bool is_program_start() const;
     /// @}
 
-    /// @name Sending
+    /// @name Sending to targets
     /// @{
-    /// Sends it to a target, as soon as the workspace's quota allows.
+    /// Sends the request to a target as soon as the workspace's quota allows.
     void dispatch();
     void dispatch_with_permit();
     [[nodiscard]] const target* choose_next_target();
@@ -86,7 +86,7 @@
     void refuse_without_target();
     /// @}
 
-    /// @name The target's answer
+    /// @name Response of the target
     /// @{
     void on_head(const http_client_reply& reply);
     void on_reply(http_client_reply reply);
@@ -98,26 +98,26 @@
     [[nodiscard]] bool can_retry() const;
     /// @}
 
-    /// @name A streamed answer
+    /// @name Streamed response
     /// @{
     void create_progress();
     void on_chunk(std::string_view chunk);
     void on_stream_complete();
-    /// Looks whether the target has fallen silent in the middle of a stream that may go on elsewhere.
+    /// Abandons a target that has stalled in the middle of a stream that another target can resume.
     void check_stall();
-    /// Whether an earlier target made a part of the answer.
+    /// Whether events of the response have been received already.
     [[nodiscard]] bool has_streamed_events() const;
     [[nodiscard]] bool is_stream() const;
     /// @}
 
-    /// @name Towards the caller
+    /// @name Response to the caller
     /// @{
-    /// Whether the budget allows what has come so far.
+    /// Whether the budget permits sending the output received so far.
     [[nodiscard]] bool can_forward_output() const;
     void send_stream_head();
     void forward_output();
     void store_turn();
-    /// Tells the caller that the stream is whole, once nothing of it is open.
+    /// Ends the caller's stream once all output has been sent and, if the turn is stored, is durable.
     void finish_stream();
     void refuse(refusal_reason reason, ran_state ran, std::string detail,
                 std::optional<milliseconds> retry_after = std::nullopt);
@@ -130,16 +130,16 @@
     /// @}
 
     [[nodiscard]] milliseconds time_left() const;
-    /// Takes a step after a while, if the request is still there.
+    /// Calls @a handler after @a delay if the request still exists.
     void schedule(milliseconds delay, void (forwarded_request::*handler)());
-    /// Whether it may generate tokens only within a program's budget.
+    /// Whether the request's tokens count against a program's budget.
     [[nodiscard]] bool has_budget() const;
-    /// @return the failure domain whose targets are chosen first; empty if none is
+    /// @return the failure domain whose targets are preferred; empty if there is none
     [[nodiscard]] failure_domain_name preferred_domain() const;
-    /// Whether what is said in it is kept for the turns after it.
+    /// Whether the turn is stored for the turns that continue it.
     [[nodiscard]] bool is_retained() const;
     [[nodiscard]] std::optional<request_id> previous_turn() const;
-    /// The id under which the turn is kept.
+    /// The id under which the turn is stored.
     [[nodiscard]] request_id turn_id() const;
 
     forwarding_services& m_services;
@@ -148,50 +148,50 @@
     std::shared_ptr<http_exchange> m_exchange;
     std::function<void(request_outcome)> m_on_finished;
     const route* m_route = nullptr;
-    /// The workspace whose quota the request counts in; null if there is no limit.
+    /// The workspace whose quota applies; null if there is no quota.
     const workspace* m_quota_workspace = nullptr;
     std::optional<quota_permit> m_permit;
     time_point m_started;
     time_point m_deadline;
     bool m_finished = false;
 
-    /// @name Of a turn
+    /// @name Turn
     /// @{
     reservation_state m_reservation = reservation_state::not_needed;
     bool m_chain_loaded = false;
-    /// The reservation must be durable before a target may see the turn.
+    /// The turn may be sent to a target only after the reservation is durable.
     bool m_await_reservation = false;
-    /// An overdraft has been asked for, and may be open.
+    /// An overdraft has been requested and may not be settled yet.
     bool m_overdraft_requested = false;
-    /// What it allows.
+    /// Tokens granted by the overdraft.
     token_count m_overdraft_granted = 0;
     turn_chain m_chain;
     bool m_turn_durable = false;
     /// @}
 
-    /// @name Of the attempts
+    /// @name Attempts
     /// @{
     std::vector<target_id> m_tried_targets;
-    /// Where the target that it was sent to last lies.
+    /// Failure domain of the target of the last attempt.
     failure_domain_name m_last_domain;
     std::uint32_t m_attempt_count = 0;
-    /// An attempt that may have run the request has been made.
+    /// The request may have been executed by an earlier attempt.
     bool m_may_have_executed = false;
-    /// All targets that answered said that they were full.
+    /// At least one target refused the request without executing it.
     bool m_saw_full_target = false;
     std::optional<target_record> m_target;
     std::shared_ptr<http_stream> m_upstream;
-    /// Numbers the attempts, so that what comes of an older one is dropped.
+    /// Id of the current attempt; callbacks of earlier attempts are ignored.
     std::uint64_t m_attempt_id = 0;
     std::optional<target_response_head> m_response_head;
     /// @}
 
-    /// @name Of a stream
+    /// @name Stream
     /// @{
     std::optional<stream_progress> m_progress;
-    /// The head of the first target's answer, which stands for the whole stream.
+    /// Response head of the first target that contributed events; it applies to the whole stream.
     std::optional<target_response_head> m_stream_head;
-    /// What may be handed out once the reservation is durable.
+    /// Output that is sent to the caller once the reservation is durable.
     std::string m_pending_output;
     time_point m_last_chunk_time;
     bool m_stream_head_sent = false;
--- a/src/gateway/forwarded_request_answer.cpp
+++ b/src/gateway/forwarded_request_answer.cpp
@@ -1,4 +1,4 @@
-// What the caller is given, and how a request ends.
+// The response to the caller and the end of a request.
 #include "forwarded_request.hpp"
 
 #include "masticcourse/telemetry/log.hpp"
@@ -33,7 +33,7 @@
                          .content_type = {},
                          .body = std::move(reply.body),
                          .headers = std::move(m_response_head->headers)});
-    finish(request_outcome::answered, "whole answer");
+    finish(request_outcome::answered, "response complete");
 }
 
 void forwarded_request::store_turn()
@@ -86,7 +86,7 @@
     }
     send_stream_head();
     m_exchange->end_stream();
-    finish(request_outcome::answered, is_retained() ? "turn kept" : "whole stream");
+    finish(request_outcome::answered, is_retained() ? "turn stored" : "stream complete");
 }
 
 void forwarded_request::refuse(refusal_reason reason, ran_state ran, std::string detail,
@@ -109,7 +109,7 @@
 
 void forwarded_request::abort_stream(std::string_view detail)
 {
-    // Dropping the exchange closes the connection: the caller sees that the answer is not whole.
+    // Releasing the exchange closes the connection, so the caller detects that the response is incomplete.
     finish(request_outcome::broken_off, detail);
 }
 
--- a/src/gateway/forwarded_request_attempts.cpp
+++ b/src/gateway/forwarded_request_attempts.cpp
@@ -1,4 +1,4 @@
-// The attempts of a request: sending it to one target after the other, and what comes back.
+// The attempts of a request: sending it to targets in turn and handling their responses.
 #include "forwarded_request.hpp"
 
 #include "masticcourse/gateway/target_choice.hpp"
@@ -15,19 +15,20 @@
 namespace
 {
 
-/// How long opening a connection to a target may take: links have a millisecond or less, a target a few for
-/// the handshake; a dark one is left for another well before a caller notices.
+/// Connect timeout for targets. Links have a latency of 1 ms or less and the handshake takes a target a few
+/// milliseconds, so an unreachable target is abandoned well before callers notice the delay.
 constexpr milliseconds target_connect_timeout{300};
 
-/// When a caller may come back. Callers honour up to a third of the time that they have left, about a second.
-/// Full targets free a place with each answer, some every few tens of milliseconds.
+/// Retry-After when all targets are full. Callers honour up to a third of their remaining time, about a
+/// second. A full target frees a slot with each response, in some cases every few tens of milliseconds.
 constexpr milliseconds targets_full_retry_after{200};
-/// A target that crashed is replaced in the registry within seconds.
+/// Retry-After when no target is available. A crashed target is replaced in the registry within seconds.
 constexpr milliseconds no_target_retry_after{400};
 
 constexpr int status_misdirected = 421;
 
-/// Statuses that promise callers that the request has not run; only a target that says so may give them.
+/// Whether callers take the status as a guarantee that the request was not executed. Such a status is valid
+/// only from a target that explicitly states so.
 bool implies_not_executed(int status)
 {
     constexpr std::array statuses{408, status_misdirected, 429, 503};
@@ -38,7 +39,8 @@
 
 std::string forwarded_request::affinity_key() const
 {
-    // The prompts of a program's turns begin alike, kept or not.
+    // Turns of a program share a prompt prefix, whether or not they are stored, so the target's prompt cache
+    // helps.
     if (m_request.program && is_stream())
     {
         return m_request.program->program.value;
@@ -52,8 +54,8 @@
     {
         return m_services.own_domain;
     }
-    // Turns may come through another domain than the ones before. Where no record tells which one ran those,
-    // none is preferred, so that all gateways name the same target.
+    // The turns of a program may arrive through different domains. Where no record tells which domain ran the
+    // previous turns, none is preferred, so that all gateways choose the same target.
     if (!is_retained())
     {
         return {};
@@ -188,10 +190,10 @@
     }
     if (verdict == health_signal::failed)
     {
-        // The request may have run on its permit: another run needs another one.
+        // The request may have been executed under this permit; another execution needs a new one.
         m_permit.reset();
     }
-    // Closing the connection tells a target that is still at work to stop.
+    // Closing the connection tells a target that is still processing the request to stop.
     if (const auto upstream = std::exchange(m_upstream, nullptr))
     {
         upstream->cancel();
@@ -242,7 +244,7 @@
 
 void forwarded_request::on_connect_failure()
 {
-    // Nothing was sent: this target does not count as an attempt.
+    // Nothing was sent, so this target does not count as an attempt.
     --m_attempt_count;
     log_retry("no connection");
     end_attempt(health_signal::unreachable);
@@ -253,14 +255,15 @@
 {
     if (m_response_head->instance_replaced)
     {
-        // Nobody is there to have run it: this target does not count as an attempt.
+        // The addressed instance no longer exists and can't have executed the request, so this target does
+        // not count as an attempt.
         --m_attempt_count;
-        log_retry("the target's life has ended");
+        log_retry("the target instance was replaced");
         end_attempt(health_signal::replaced);
         dispatch();
         return;
     }
-    log_retry("the target did not run it");
+    log_retry("the target did not execute the request");
     end_attempt(health_signal::refused);
     m_saw_full_target = true;
     if (can_retry())
--- a/src/gateway/forwarded_request_overdraft.cpp
+++ b/src/gateway/forwarded_request_overdraft.cpp
@@ -1,4 +1,4 @@
-// What a request may hand out before its reservation is durable.
+// Overdrafts: output that may be sent before the reservation is durable.
 #include "forwarded_request.hpp"
 
 #include "masticcourse/telemetry/log.hpp"
@@ -9,18 +9,18 @@
 namespace
 {
 
-/// How long a reservation may take before an overdraft is asked for: several transactions, well under what a
-/// caller takes for on time.
+/// How long a reservation may take before an overdraft is requested: several store transactions, but well
+/// below the latency that callers consider on time.
 constexpr milliseconds overdraft_delay{100};
-/// The part of a turn's most that an overdraft must allow for the turn to be sent on it: turns generate a
-/// quarter of their most on average.
+/// A turn is sent on an overdraft only if that grants at least the turn's maximum divided by this. Turns
+/// generate a quarter of their maximum on average.
 constexpr token_count min_overdraft_divisor = 4;
 
 } // namespace
 
 void forwarded_request::schedule_overdraft()
 {
-    // The end of a turn that is kept waits for the store in any case.
+    // The end of a stored turn waits for the store in any case.
     if (is_retained() || m_reservation != reservation_state::pending)
     {
         return;
@@ -51,7 +51,7 @@
     const auto& context = *m_request.program;
     if (m_finished || m_reservation != reservation_state::pending)
     {
-        // Nothing of it was used, or a row accounts for the turn by now.
+        // Either none of the overdraft was used, or the turn is already accounted for in a durable row.
         m_services.overdrafts.clear(context.program, m_request.id);
         return;
     }
@@ -102,7 +102,7 @@
         [&overdrafts = m_services.overdrafts, program = context.program,
          request = m_request.id](token_count excess)
         {
-            // What lies beyond the budget is the program's overdraft for good.
+            // Tokens in excess of the budget are charged to the program's overdraft permanently.
             overdrafts.settle(program, request, excess);
         });
 }
--- a/src/gateway/forwarded_request_stream.cpp
+++ b/src/gateway/forwarded_request_stream.cpp
@@ -1,4 +1,4 @@
-// A streamed answer on its way from one target, or from several in turn, to the caller.
+// Forwarding of a streamed response from one target, or several targets in turn, to the caller.
 #include "forwarded_request.hpp"
 
 #include <algorithm>
@@ -9,10 +9,10 @@
 namespace
 {
 
-/// How many of a route's longest pauses a target may be silent in the middle of a stream that can go on
-/// elsewhere: an engine that puts a request back and reads its prompt again takes two or three.
+/// Stall timeout of a resumable stream, as a multiple of the route's maximum event gap. An engine that
+/// preempts a request and recomputes its prompt pauses for two or three such gaps.
 constexpr int stall_gap_factor = 4;
-/// Below this, links and busy processors alone explain a silence.
+/// Shorter pauses can be caused by network delay and CPU contention alone.
 constexpr milliseconds min_stall_timeout{600};
 
 milliseconds stall_timeout(const route& route)
@@ -34,7 +34,7 @@
 
 void forwarded_request::create_progress()
 {
-    // Whole events can be counted before they are handed out.
+    // Complete events can be counted before they are sent to the caller.
     const bool whole_events = m_route->resumable || has_budget() || is_retained();
     m_progress.emplace(whole_events ? stream_granularity::whole_events : stream_granularity::bytes);
 }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -16,20 +16,22 @@
 namespace
 {
 
-/// How long an entry that vanished while the store was not steady may take to come back.
+/// How long a registry entry that vanished around a store outage may take to reappear.
 constexpr milliseconds vanished_entry_grace{2'000};
-/// How often tables are looked through for what has passed.
+/// Interval between sweeps of the tables for expired entries.
 constexpr milliseconds sweep_period{100};
-/// How long the balancer may take to turn callers away: two questions a second apart, and the way.
+/// Time until the load balancer stops sending callers here: two readiness probes one second apart, plus
+/// network latency.
 constexpr milliseconds readiness_propagation_time{2'500};
-/// Kept free before the process would be killed.
+/// Safety margin before the process would be killed.
 constexpr milliseconds kill_margin{500};
-/// The memory for rows of collected partitions, as a share of that for turns.
+/// The cache for rows of the partitions whose commits this gateway batches gets the size of the turn cache
+/// divided by this.
 constexpr std::size_t row_cache_divisor = 2;
-/// When callers may come back to a process that has read no configuration yet.
+/// Retry-After of a process that has read no configuration yet.
 constexpr milliseconds no_configuration_retry_after{300};
 
-/// Tells this life of the process from all others on its VM.
+/// Distinguishes this process instance from all others on its VM.
 std::string random_incarnation()
 {
     std::random_device source;
@@ -50,7 +52,7 @@
     void apply_config_row(const stored_row& row);
     void apply_target_row(const stored_row& row);
     void apply_target_snapshot(const std::vector<stored_row>& rows);
-    /// @return whether the row names a target to use
+    /// @return whether the row holds a usable target
     bool put_target(const stored_row& row);
     [[nodiscard]] milliseconds removal_grace() const;
     [[nodiscard]] bool ready() const;
@@ -221,8 +223,8 @@
 
 milliseconds gateway::state::removal_grace() const
 {
-    // Counted from the store's return, not from when the entry vanished: one that vanishes later than that
-    // has left, and requests that still went to it would reach it past the time in which it serves.
+    // Measured from the store's return, not from when the entry vanished: an entry that vanishes later than
+    // that was deregistered, and requests still sent to it would arrive after it has stopped serving.
     const auto since_return = std::chrono::floor<milliseconds>(store.time_since_failure());
     return std::max(milliseconds{0}, vanished_entry_grace - since_return);
 }
@@ -240,7 +242,7 @@
     }
     if (const auto* const fault = std::get_if<row_decode_error>(&*decoded))
     {
-        // The version in force stays.
+        // The current configuration stays in force.
         row_faults.report(row.name, row.version, fault->message);
         return;
     }
@@ -342,7 +344,7 @@
     sweep();
     frontend->announce_close();
     overdraft_buckets.leave([this](std::size_t bucket) { return overdrafts.idle(bucket); });
-    // Portions that are out lapse by themselves.
+    // Portions handed out to peers expire by themselves.
     quota_buckets.leave([](std::size_t) { return true; });
     check_stopped();
 }
@@ -357,11 +359,11 @@
         accepting_stopped = true;
         frontend->stop_accepting();
     }
-    // Buckets are given up while the store is there; without it nobody waits for that.
+    // Releasing buckets needs the store, so shutdown does not wait for it while the store is unreachable.
     const bool buckets_released =
         (overdraft_buckets.may_go() && quota_buckets.may_go()) || !store.reachable();
     const bool idle = frontend->open_exchanges() == 0 && commits.pending() == 0 && buckets_released;
-    // Idle connections get the server's grace after `stop_accepting` for requests on their way.
+    // After `stop_accepting`, idle connections get the server's grace period for requests in transit.
     const bool settled = waited >= readiness_propagation_time + http_limits{}.stop_grace + sweep_period;
     if ((settled && idle) || must_exit)
     {
--- a/src/gateway/stream_progress.cpp
+++ b/src/gateway/stream_progress.cpp
@@ -10,7 +10,8 @@
 namespace
 {
 
-/// @return the length of the longest part of @a text that ends with an event's blank line; 0 if there is none
+/// @return the length of the longest prefix of @a text that ends with an event's blank line; 0 if there is
+/// none
 std::size_t complete_events_length(std::string_view text)
 {
     std::size_t length = 0;
@@ -18,7 +19,7 @@
     while (true)
     {
         const auto end = text.find_first_of("\r\n", line_start);
-        // A return at the very end may be half of a line end.
+        // A trailing CR may be the first half of a CRLF.
         if (end == std::string_view::npos || (text[end] == '\r' && end + 1 == text.size()))
         {
             return length;
@@ -41,7 +42,7 @@
     return ec == std::errc{} && stop == end ? std::optional{number} : std::nullopt;
 }
 
-/// Whether @a id does not come behind @a last, as far as ids that are numbers tell.
+/// Whether @a id does not follow @a last. Numeric ids are compared by value; others only for equality.
 bool is_not_after(const std::string& id, const std::string& last)
 {
     const auto number = to_number(id);
--- a/tests/support/forwarding_world.hpp
+++ b/tests/support/forwarding_world.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One gateway's requests in virtual time: targets and callers are played by the test.
+/// Request forwarding of one gateway in virtual time; the test acts as targets and callers.
 #pragma once
 
 #include "support/memory_rows.hpp"
@@ -16,22 +16,22 @@
 namespace masticcourse::testing
 {
 
-/// What a caller has been given.
+/// The response as seen by a caller.
 struct caller_view
 {
     std::optional<http_response> response;
     std::optional<int> stream_status;
     std::string text;
     bool ended = false;
-    /// The exchange was dropped: the connection closes.
+    /// The exchange was released before the response was complete, which closes the connection.
     bool closed = false;
     std::function<void()> on_closed;
 };
 
-/// @return the body of the answer that a caller was given
+/// @return the body of the caller's response
 [[nodiscard]] std::string body_of(const caller_view& view);
 
-/// One request as a target received it.
+/// A request as received by a target.
 struct upstream_request
 {
     http_client_request request;
@@ -39,15 +39,15 @@
     http_reply_callback on_reply;
     bool cancelled = false;
 
-    /// @name The target's answer
+    /// @name Response of the target
     /// @{
     void begin(int status, bool marked = true) const;
     void event(const std::string& data) const;
-    /// An event that bears its number.
+    /// An event with an id.
     void event(int id, const std::string& data) const;
     void end(int status, bool marked = true, const std::string& body = "");
     void refuse();
-    /// Another target answers at its address.
+    /// Another target instance responds at the address.
     void misdirect();
     void fail(http_failure failure);
     /// @}
@@ -55,7 +55,7 @@
 
 using upstream_request_ptr = std::shared_ptr<upstream_request>;
 
-/// A protocol as plain as can be: the headers are called as what they mean.
+/// Minimal protocol with self-describing header names.
 class stub_protocol final : public gateway::gateway_protocol
 {
   public:
@@ -75,11 +75,11 @@
   public:
     forwarding_fixture();
 
-    /// A request on one of the routes: "lookup" (idempotent), "order" (not), "stream", "turn" (kept), "plan"
-    /// (a stream that may be resumed).
+    /// A request on one of the routes: "lookup" (idempotent), "order" (non-idempotent), "stream", "turn"
+    /// (stored stream), "plan" (resumable stream).
     [[nodiscard]] gateway::gateway_request make_request(const std::string& route,
                                                         const std::string& id) const;
-    /// A request of the program "p" on a route of streams.
+    /// A request of the program "p" on a streaming route.
     [[nodiscard]] gateway::gateway_request
     make_budgeted_request(const std::string& route, const std::string& id, token_count budget = 1'000) const;
     /// A turn of the program "p".
@@ -89,10 +89,10 @@
 
     std::shared_ptr<caller_view> send(gateway::gateway_request request);
 
-    /// @return the request that was sent last
+    /// @return the request sent to a target most recently
     [[nodiscard]] upstream_request_ptr last() const;
 
-    /// Plays a turn from its start to its end.
+    /// Runs a turn from start to end.
     std::shared_ptr<caller_view> complete_turn(const std::string& id, const std::string& previous,
                                                const std::vector<std::string>& events);
 
--- a/tests/unit/test_gateway_forwarding.cpp
+++ b/tests/unit/test_gateway_forwarding.cpp
@@ -1,5 +1,5 @@
-// One request on its way: what is sent again and what never, what is held until it is durable, and when
-// callers hear of it.
+// Request forwarding: which requests are retried, which output is held back until it is durable, and what
+// callers are told.
 #include "support/forwarding_world.hpp"
 
 #include <doctest/doctest.h>
@@ -17,7 +17,7 @@
 namespace
 {
 
-/// Checks that the budget of the program "p" holds so many turns of 100 tokens more, and not one beyond them.
+/// Checks that the remaining budget of the program "p" admits exactly @a turns more turns of 100 tokens.
 void check_remaining_turns(forwarding_fixture& world, const std::string& route, std::size_t turns,
                            token_count budget)
 {
@@ -53,8 +53,8 @@
         row{"order", http_failure::broken, 1, status_bad_gateway},
         row{"order", http_failure::timeout, 1, status_bad_gateway},
         row{"stream", http_failure::broken, 1,
-            status_bad_gateway}, // Nothing was sent: each target is tried, and the caller is told that the
-                                 // request has not run.
+            status_bad_gateway}, // Nothing was sent: every target is tried, and the caller is told that the
+                                 // request was not executed.
         row{"lookup", http_failure::connect, 3, status_unavailable},
         row{"order", http_failure::connect, 3, status_unavailable},
         row{"stream", http_failure::connect, 3, status_unavailable},
@@ -65,7 +65,7 @@
         CAPTURE(to_string(it.failure));
         forwarding_fixture world;
         const auto view = world.send(world.make_request(it.route, "r"));
-        // Each failure may send the request once more.
+        // Each failure may cause a retry.
         std::size_t failed = 0;
         while (failed < world.sent.size())
         {
@@ -250,7 +250,7 @@
     std::ignore = world.complete_turn("a", "", {"1", "2", "3", "4", "5"});
     std::ignore = world.complete_turn("b", "a", {"1", "2", "3", "4", "5"});
     const auto sent = world.sent.size();
-    // 100 of 150 tokens are spent; the turn may take 100.
+    // 100 of 150 tokens are spent, and the turn may generate 100.
     const auto view = world.send(world.make_turn_request("c", "b", 150));
     CHECK(world.sent.size() == sent);
     world.time.run(200ms);
@@ -280,11 +280,11 @@
     world.store.reported_reachable = false;
     world.store.mode = store_mode::refusing;
     const auto sent = world.sent.size();
-    // The budget is not known to hold the turn.
+    // It is not certain that the turn fits the budget.
     const auto tight = world.send(world.make_turn_request("b", "a", 150));
     CHECK(body_of(*tight) == "store_away");
     CHECK(find_header(tight->response->headers, "retry-after"));
-    // The turn before is not remembered here.
+    // The previous turn is not cached here.
     const auto stranger = world.send(world.make_turn_request("c", "elsewhere"));
     world.time.run(20ms);
     CHECK(body_of(*stranger) == "store_away");
@@ -332,7 +332,7 @@
     world.last()->event("1");
     view->on_closed();
     world.time.run(1s);
-    // 420 less one event of ten tokens hold four turns of 100.
+    // 420 tokens less one event of 10 leave room for four turns of 100.
     check_remaining_turns(world, "turn", 4, 420);
 }
 
@@ -360,7 +360,7 @@
     {
         CAPTURE(route);
         forwarding_fixture world;
-        // 250 hold two turns of 100 at once, and a third one only when those have ended with less.
+        // 250 tokens admit two concurrent turns of 100, and a third only after those ended with fewer tokens.
         const auto first = world.send(world.make_budgeted_request(route, "a", 250));
         const auto second = world.send(world.make_budgeted_request(route, "b", 250));
         world.time.run(200ms);
@@ -429,7 +429,7 @@
     {
         const char* name;
         std::size_t events;
-        /// Of the event that the target broke off in.
+        /// Received part of the event in which the target's response was interrupted.
         const char* partial;
         http_failure failure;
     };
@@ -588,7 +588,7 @@
     }
     forwarding_fixture other;
     const auto refused = other.send(other.make_request("order", "r"));
-    // Each answer may send the request once more.
+    // Each response may cause a retry.
     std::size_t answered = 0;
     while (answered < other.sent.size())
     {
@@ -621,8 +621,8 @@
     }
 }
 
-// Load pattern: lines of turns that come through another failure domain each time. A target that has read
-// their prompts is worth more than a near one.
+// Load pattern: programs whose consecutive turns arrive through different failure domains. A target with the
+// cached prompt is preferable to a nearby one.
 TEST_CASE("a program's turns stay in the domain that ran the one before, whichever domain they come through")
 {
     forwarding_fixture world;
--- a/tests/unit/test_gateway_loopback.cpp
+++ b/tests/unit/test_gateway_loopback.cpp
@@ -1,5 +1,5 @@
-// Whole gateways on loopback against a stand-in of the platform: the main job, faults of the store, the way
-// through a peer, graceful stop.
+// Complete gateways on loopback against stand-ins of the platform: the main use case, store faults, store
+// access through a peer, graceful shutdown.
 #include "request_codec.hpp"
 #include "row_codec.hpp"
 #include "row_store_client.hpp"
@@ -32,8 +32,9 @@
 namespace
 {
 
-/// A port that was free a moment ago and is given to nobody else by this process, below those that the system
-/// gives to outgoing connections: one of them took such a port before its gateway listened there.
+/// @return an address whose port was free on a bind check and is not handed out twice by this process. Ports
+/// lie below the ephemeral range: an outgoing connection once took an ephemeral port before the gateway could
+/// listen on it.
 std::string free_address(boost::asio::io_context& context)
 {
     constexpr std::uint16_t first = 20'000;
@@ -57,7 +58,7 @@
     }
 }
 
-/// One gateway process's parts, on a thread of their own.
+/// The components of one gateway process, running on their own thread.
 struct gateway_process
 {
     gateway_process(const std::string& store_address, const std::string& node)
@@ -121,8 +122,8 @@
   {"name":"tool","host":"h","prefix":"/tool/","type":"non_idempotent","service":"app","timeoutMs":5000}],
   "services":[{"name":"llm","engine":{"tokensPerEvent":10}},{"name":"app"}]})";
 
-/// The platform: its store, an engine, a plain service. The store is one for all, or each gateway has its own
-/// way.
+/// The platform: a store, an engine and a plain service. Gateways share the store, or each has its own
+/// address for it.
 struct platform_fixture
 {
     platform_fixture()
@@ -238,7 +239,7 @@
     later.replace(later.find("/tool/"), 6, "/other/");
     world.store.put("op", "config", later);
     REQUIRE(eventually([&] { return world.send(gateway, "/tool/1", "b3").status == 404; }));
-    // The same again, and an older one, change nothing.
+    // A configuration that is not newer is ignored.
     world.store.put("op", "config", config);
     CHECK(world.send(gateway, "/tool/1", "b4").status == 404);
 }
@@ -261,12 +262,13 @@
           "serves tools")
 {
     platform_fixture world;
-    // A second way to the same rows would need a proxy: the first gateway's own way is closed by its address.
+    // A second route to the store would need a proxy; instead, the gateway is cut off by changing its store
+    // address.
     gateway_process near{loopback(world.store.port()), "near"};
     gateway_process cut_off{loopback(world.store.port()), "cut-off"};
     world.wait_ready(near);
     world.wait_ready(cut_off);
-    // Both have read each other's address once the list has been read anew.
+    // After the next refresh of the peer list, both gateways know each other's address.
     std::this_thread::sleep_for(3'200ms);
     boost::asio::post(cut_off.threads.context(), [&] { cut_off.store.set_address("127.0.0.1:1"); });
     CHECK(eventually(
