--- a/tests/unit/test_gateway_forwarding.cpp
+++ b/tests/unit/test_gateway_forwarding.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-TEST_CASE("what happens to a request whose answer is lost follows from its kind alone")
+TEST_CASE("what happens to a request whose response is lost depends on its kind alone")
 {
     struct row
     {
@@ -85,8 +85,7 @@
     }
 }
 
-TEST_CASE(
-    "a target that states that it did not run the request is left for another, up to the route's attempts")
+TEST_CASE("a request that a target states it did not execute is sent to another, up to the route's attempts")
 {
     for (const auto* route : {"lookup", "order", "stream"})
     {
@@ -104,7 +103,8 @@
     }
 }
 
-TEST_CASE("a refusal without the target's statement, and a success without its mark, are lost answers")
+TEST_CASE(
+    "a refusal without the target's statement and a success without its signature count as lost responses")
 {
     struct row
     {
@@ -124,7 +124,7 @@
     }
 }
 
-TEST_CASE("a target's own failure reaches the caller as it is, if the request may not run again")
+TEST_CASE("a target's own failure is forwarded unchanged if the request may not be retried")
 {
     forwarding_fixture world;
     const auto view = world.send(world.make_request("order", "r"));
@@ -134,7 +134,7 @@
     CHECK(view->response->body == "its own words");
 }
 
-TEST_CASE("events are handed on as they come; a stream that breaks off is never told as whole")
+TEST_CASE("events are forwarded as received; an interrupted stream is never reported as complete")
 {
     forwarding_fixture world;
     const auto view = world.send(world.make_request("stream", "r"));
@@ -161,7 +161,7 @@
     }
 }
 
-TEST_CASE("at the deadline a request is answered at once, and its target is told to stop")
+TEST_CASE("at the deadline a request is answered at once and its target is told to stop")
 {
     forwarding_fixture world;
     const auto view = world.send(world.make_request("order", "r"));
@@ -173,7 +173,7 @@
     CHECK(world.last()->cancelled);
 }
 
-TEST_CASE("a caller who leaves stops the target's work")
+TEST_CASE("a caller's disconnect cancels the request at the target")
 {
     forwarding_fixture world;
     const auto view = world.send(world.make_request("stream", "r"));
@@ -184,7 +184,7 @@
     CHECK(world.targets.find({world.last()->request.address})->in_flight == 0);
 }
 
-TEST_CASE("targets are told how long they may take: what the caller waits, less what has passed")
+TEST_CASE("targets are told the remaining time: the caller's timeout less the elapsed time")
 {
     forwarding_fixture world;
     std::ignore = world.send(world.make_request("lookup", "r"));
@@ -194,7 +194,7 @@
     CHECK(find_header(world.last()->request.headers, "left") == "1500");
 }
 
-TEST_CASE("a turn reads what was said before it, and is followed by turns through any gateway")
+TEST_CASE("a turn's prompt contains the previous turns of its chain")
 {
     forwarding_fixture world;
     std::ignore = world.complete_turn("a", "", {"one", "two"});
@@ -204,7 +204,7 @@
     CHECK(world.last()->request.body == "body of a;one\ntwo\nbody of b;three\nbody of c;");
 }
 
-TEST_CASE("no token is handed out before its reservation is durable")
+TEST_CASE("no token is sent to the caller before its reservation is durable")
 {
     forwarding_fixture world;
     world.store.mode = store_mode::unresponsive;
@@ -218,7 +218,7 @@
     CHECK(view->text == "data: one\n\n");
 }
 
-TEST_CASE("the end of a turn is handed out when the turn is durable, and not otherwise")
+TEST_CASE("the end of a turn is sent to the caller only once the turn is durable")
 {
     forwarding_fixture world;
     const auto view = world.send(world.make_turn_request("a"));
@@ -236,7 +236,7 @@
         world.time.run(500ms);
         CHECK(view->ended);
     }
-    SUBCASE("the store stays away: the answer is broken off")
+    SUBCASE("the store stays unreachable: the response is aborted")
     {
         world.time.run(3s);
         CHECK(view->closed);
@@ -244,7 +244,8 @@
     }
 }
 
-TEST_CASE("near the limit a turn is sent to no target before it is reserved, and refused without having run")
+TEST_CASE(
+    "near the budget's limit a turn is not sent before its reservation, and is refused without execution")
 {
     forwarding_fixture world;
     std::ignore = world.complete_turn("a", "", {"1", "2", "3", "4", "5"});
@@ -258,7 +259,7 @@
     CHECK(body_of(*view) == "over_budget");
 }
 
-TEST_CASE("a turn after one that does not exist is refused; after one that can't be read, told to come back")
+TEST_CASE("a turn whose previous turn is missing is refused; if that can't be read, the caller may retry")
 {
     forwarding_fixture world;
     const auto missing = world.send(world.make_turn_request("a", "none"));
@@ -273,7 +274,7 @@
 }
 
 TEST_CASE(
-    "while the store is known to be away, what needs an answer of it first is refused at once; tools go on")
+    "while the store is unreachable, requests that depend on it are refused at once; tool calls continue")
 {
     forwarding_fixture world;
     std::ignore = world.complete_turn("a", "", {"1"});
@@ -294,8 +295,7 @@
     CHECK(body_of(*tool) == "done");
 }
 
-TEST_CASE(
-    "while the store is away a turn that surely has the budget runs, and is handed out on the store's return")
+TEST_CASE("while the store is unreachable, a turn that certainly fits the budget runs; its output waits")
 {
     forwarding_fixture world;
     std::ignore = world.complete_turn("a", "", {"1"});
@@ -315,7 +315,7 @@
         CHECK(view->text == "data: 2\n\n");
         CHECK(view->ended);
     }
-    SUBCASE("it stays away: the deadline ends the wait, and nobody is told that the turn has not run")
+    SUBCASE("it stays unreachable: the deadline ends the wait, and the turn is not reported as not executed")
     {
         world.time.run(2s);
         REQUIRE(view->response);
@@ -323,7 +323,7 @@
     }
 }
 
-TEST_CASE("a turn that its caller left is charged what was handed out, and leaves no reservation")
+TEST_CASE("a turn whose caller disconnected is charged the tokens sent, and leaves no reservation")
 {
     forwarding_fixture world;
     const auto view = world.send(world.make_turn_request("a", "", 420));
@@ -354,7 +354,7 @@
     CHECK(view->ended);
 }
 
-TEST_CASE("a budget holds on every route of streams, whether its turns are kept or not")
+TEST_CASE("a budget holds on every route of streams, whether or not its turns are stored")
 {
     for (const auto* route : {"stream", "turn", "plan"})
     {
@@ -384,7 +384,7 @@
     }
 }
 
-TEST_CASE("no token of a stream with a budget is handed out before its reservation is durable, kept or not")
+TEST_CASE("no token of a stream with a budget is sent before its reservation is durable, stored or not")
 {
     for (const auto* route : {"stream", "plan"})
     {
@@ -405,7 +405,7 @@
     }
 }
 
-TEST_CASE("a turn that is kept needs no budget")
+TEST_CASE("a stored turn needs no budget")
 {
     forwarding_fixture world;
     auto first = world.make_request("turn", "a");
@@ -423,7 +423,7 @@
     CHECK(world.last()->request.body == "body of a;one\nbody of b;");
 }
 
-TEST_CASE("a stream that may be resumed goes on at another target behind its last whole event")
+TEST_CASE("a stream that may be resumed continues at another target after its last complete event")
 {
     struct row
     {
@@ -469,7 +469,7 @@
     }
 }
 
-TEST_CASE("the runs of a resumed stream together keep to attempts, deadline, budget and order")
+TEST_CASE("all attempts of a resumed stream together respect the attempt limit, deadline, budget and order")
 {
     forwarding_fixture world;
     const auto view = world.send(world.make_budgeted_request("plan", "r", 400));
@@ -481,7 +481,7 @@
     first->fail(http_failure::broken);
     const auto second = world.last();
     REQUIRE(second != first);
-    SUBCASE("no attempt is left: the answer is not told as whole")
+    SUBCASE("no attempt is left: the response is not reported as complete")
     {
         second->begin(200);
         second->event(3, "x");
@@ -490,31 +490,31 @@
         CHECK(view->closed);
         CHECK_FALSE(view->ended);
     }
-    SUBCASE("a target that starts over is left: no event comes twice")
+    SUBCASE("a target that starts over is abandoned: no event is duplicated")
     {
         second->begin(200);
         second->event(1, "x");
         CHECK(view->closed);
         CHECK(view->text == "id: 1\ndata: x\n\nid: 2\ndata: x\n\n");
     }
-    SUBCASE("a target that does not go on is no end")
+    SUBCASE("a target that refuses to resume does not complete the stream")
     {
         second->end(404, true, "no such stream");
         CHECK(view->closed);
         CHECK_FALSE(view->ended);
     }
-    SUBCASE("the deadline bounds all runs")
+    SUBCASE("the deadline bounds all attempts")
     {
         world.time.run(2s);
         CHECK(view->closed);
         CHECK(second->cancelled);
     }
-    SUBCASE("the caller leaves")
+    SUBCASE("the caller disconnects")
     {
         view->on_closed();
         CHECK(second->cancelled);
     }
-    SUBCASE("what all runs handed out is charged: 30 of 400 tokens leave room for three more turns")
+    SUBCASE("the tokens sent by all attempts are charged: 30 of 400 leave room for three more turns")
     {
         second->begin(200);
         second->event(3, "x");
@@ -526,8 +526,7 @@
     }
 }
 
-TEST_CASE(
-    "a target that falls silent in the middle of a stream that may go on elsewhere is left, and stopped")
+TEST_CASE("a target that stalls in the middle of a resumable stream is abandoned and cancelled")
 {
     forwarding_fixture world;
     const auto view = world.send(world.make_request("plan", "r"));
@@ -546,8 +545,7 @@
     CHECK(view->text == "id: 1\ndata: x\n\nid: 2\ndata: x\n\n");
 }
 
-TEST_CASE(
-    "a caller's own resumption is passed on; of a turn that is kept it is refused, as its start is not known")
+TEST_CASE("a caller's resumption is forwarded; for a stored turn it is refused, as its start is unknown")
 {
     forwarding_fixture world;
     auto resumed = world.make_request("plan", "r");
@@ -570,7 +568,7 @@
     CHECK(body_of(*view) == "not_resumable");
 }
 
-TEST_CASE("a life that has ended is left for good, costs no attempt, and is not told as full")
+TEST_CASE("a replaced target instance is not tried again, costs no attempt, and is not reported as full")
 {
     forwarding_fixture world;
     const auto view = world.send(world.make_request("order", "r"));
@@ -599,7 +597,7 @@
 }
 
 TEST_CASE(
-    "streams of one program go to one target, where its prompt is cached, whether its turns are kept or not")
+    "streams of one program go to one target, where its prompt is cached, whether or not they are stored")
 {
     for (const auto* route : {"stream", "turn", "plan"})
     {
@@ -623,7 +621,8 @@
 
 // Load pattern: programs whose consecutive turns arrive through different failure domains. A target with the
 // cached prompt is preferable to a nearby one.
-TEST_CASE("a program's turns stay in the domain that ran the one before, whichever domain they come through")
+TEST_CASE(
+    "a program's turns stay in the domain that ran the previous one, whichever domain they arrive through")
 {
     forwarding_fixture world;
     for (const auto* it : {"t0", "t1", "t2"})
--- a/tests/unit/test_gateway_loopback.cpp
+++ b/tests/unit/test_gateway_loopback.cpp
@@ -207,7 +207,7 @@
     CHECK(world.engine.requests().size() == 2);
 }
 
-TEST_CASE("before the first configuration nothing is refused as unknown")
+TEST_CASE("before the first configuration no request is refused as unknown")
 {
     io_threads threads{1};
     standins::table_service empty{threads.context(), "127.0.0.1:0"};
@@ -224,8 +224,8 @@
     threads.stop();
 }
 
-TEST_CASE("a new configuration and a leaving target are known from the feed, also after the store forgot its "
-          "history")
+TEST_CASE("a new configuration and a draining target are read from the change feed, also after the store "
+          "discarded its history")
 {
     platform_fixture world;
     gateway_process gateway{loopback(world.store.port()), "only"};
@@ -244,7 +244,7 @@
     CHECK(world.send(gateway, "/tool/1", "b4").status == 404);
 }
 
-TEST_CASE("answers of the store that are lost cost time and nothing else")
+TEST_CASE("lost responses of the store only cause delay")
 {
     platform_fixture world;
     gateway_process gateway{loopback(world.store.port()), "only"};
@@ -258,8 +258,7 @@
     CHECK(world.send(gateway, "/turn/1", "a2", "a1").status == 200);
 }
 
-TEST_CASE("a gateway that the store turns away serves through a peer; without one it refuses turns and "
-          "serves tools")
+TEST_CASE("a gateway cut off from the store uses a peer; without one it refuses turns and serves tool calls")
 {
     platform_fixture world;
     // A second route to the store would need a proxy; instead, the gateway is cut off by changing its store
@@ -283,7 +282,7 @@
         { return world.send(cut_off, "/turn/1", "d" + std::to_string(world.store.calls())).status == 200; }));
 }
 
-TEST_CASE("a stopping gateway is not ready, answers what still comes, says that it closes, and ends")
+TEST_CASE("a stopping gateway is not ready, answers late requests, announces the close, and exits")
 {
     platform_fixture world;
     gateway_process gateway{loopback(world.store.port()), "only"};
@@ -298,7 +297,7 @@
 }
 
 TEST_CASE(
-    "an entry that vanishes more than two seconds after the store's return has left: no request goes there")
+    "a target whose entry vanishes more than two seconds after the store's return gets no more requests")
 {
     platform_fixture world;
     gateway_process gateway{loopback(world.store.port()), "only"};
