--- a/include/masticcourse/gateway/overdraft.hpp
+++ b/include/masticcourse/gateway/overdraft.hpp
@@ -13,7 +13,7 @@
 {
 
 /// What one gateway asks another about the overdraft of a program.
-enum class overdraft_step : std::uint8_t
+enum class overdraft_operation : std::uint8_t
 {
     draw,
     settle,
@@ -21,7 +21,7 @@
 
 struct overdraft_message
 {
-    overdraft_step step = overdraft_step::draw;
+    overdraft_operation operation = overdraft_operation::draw;
     program_id program;
     request_id request;
     /// Of `draw`, the most that the turn generates; of `settle`, what of it stays open.
@@ -52,11 +52,12 @@
     }
 
     /// Asks for an overdraft for a turn. Calls back once, at once if the bucket is held here or by nobody.
-    void draw(const program_id& program, const request_id& request, token_count most, draw_callback on_grant);
+    void draw(const program_id& program, const request_id& request, token_count max_tokens,
+              draw_callback on_grant);
 
     /// The turn has ended, and @a used tokens of it stay open: no row accounts for them yet, or they lie
     /// beyond the budget in it.
-    void settle(const program_id& program, const request_id& request, token_count used);
+    void settle(const program_id& program, const request_id& request, token_count used_tokens);
 
     /// A row accounts for the turn now.
     void clear(const program_id& program, const request_id& request);
@@ -72,13 +73,13 @@
     }
 
     /// Forgets programs that are long over.
-    void forget_idle()
+    void evict_idle()
     {
-        m_ledger.forget(m_clock());
+        m_ledger.evict_idle(m_clock());
     }
 
   private:
-    void tell(const overdraft_message& message, draw_callback on_grant);
+    void send(const overdraft_message& message, draw_callback on_grant);
     token_count apply(const overdraft_message& message);
 
     bucket_ownership& m_buckets;
--- a/include/masticcourse/gateway/overdraft_ledger.hpp
+++ b/include/masticcourse/gateway/overdraft_ledger.hpp
@@ -25,7 +25,7 @@
 [[nodiscard]] std::size_t overdraft_bucket_of(std::string_view program);
 
 /// After that long without a turn no program is left: ten times what turns are kept for.
-inline constexpr seconds longest_program{600};
+inline constexpr seconds max_program_idle_time{600};
 
 class overdraft_ledger
 {
@@ -34,12 +34,12 @@
     /// is at most the smallest most of one turn that its turns have stated.
     /// @param most the most tokens that the turn generates
     /// @return how many it may hand out; the same again for a repeated question
-    [[nodiscard]] token_count draw(const program_id& program, const request_id& request, token_count most,
-                                   time_point now);
+    [[nodiscard]] token_count draw(const program_id& program, const request_id& request,
+                                   token_count max_tokens, time_point now);
 
     /// The turn has ended, and @a used tokens of it stay open: no row accounts for them yet, or they lie
     /// beyond the budget in it.
-    void settle(const program_id& program, const request_id& request, token_count used);
+    void settle(const program_id& program, const request_id& request, token_count used_tokens);
 
     /// A row accounts for the turn.
     void clear(const program_id& program, const request_id& request);
@@ -48,16 +48,16 @@
     [[nodiscard]] bool empty(std::size_t bucket) const;
 
     /// Forgets programs for which nothing was asked for so long that none of then is left.
-    void forget(time_point now);
+    void evict_idle(time_point now);
 
   private:
     struct program_account
     {
         token_count limit = 0;
-        time_point used;
-        std::unordered_map<request_id, token_count> open;
+        time_point last_used;
+        std::unordered_map<request_id, token_count> outstanding;
 
-        [[nodiscard]] token_count sum_without(const request_id& request) const;
+        [[nodiscard]] token_count outstanding_excluding(const request_id& request) const;
     };
 
     std::unordered_map<program_id, program_account> m_programs;
--- a/include/masticcourse/gateway/program_spending.hpp
+++ b/include/masticcourse/gateway/program_spending.hpp
@@ -40,7 +40,7 @@
     token_count tokens = 0;
     token_count budget = 0;
     /// The turn begins a line of its program, so the program is likely new.
-    bool first = false;
+    bool first_turn = false;
     time_point expires;
 };
 
@@ -53,10 +53,10 @@
 
     /// Whether a turn may be sent to a target while its reservation is still being written: the budget as
     /// known here holds it with room to spare, so a refusal is not to be expected.
-    [[nodiscard]] bool ample(const reservation_request& request) const;
+    [[nodiscard]] bool has_headroom(const reservation_request& request) const;
 
     /// Whether nothing is known of a program that has had turns elsewhere.
-    [[nodiscard]] bool unknown(const program_id& id) const;
+    [[nodiscard]] bool is_unknown(const program_id& id) const;
 
     /// Reads what a program has spent, if any gateway or the store tells; calls back once, whatever came of
     /// it. So a turn need not wait for its reservation before it is sent, also while the store is away.
@@ -76,10 +76,10 @@
     void charge(reservation_request turn, charge_callback on_durable);
 
     /// Forgets programs that had no turn here for a while; their rows are read anew if they come back.
-    void forget_idle(time_point now);
+    void evict_idle(time_point now);
 
   private:
-    struct claim
+    struct pending_reservation
     {
         reservation_request request;
         /// A turn's claim, or the charge for what has been handed out already, which is never refused.
@@ -87,7 +87,7 @@
         /// Whether the row has been read since the claim was made.
         bool fresh = false;
         /// Of a charge, what lies beyond the budget.
-        token_count beyond = 0;
+        token_count excess_tokens = 0;
     };
     struct settlement
     {
@@ -99,28 +99,29 @@
         /// The row as last read or written; nothing if it is not known.
         std::optional<spending_row> row;
         row_version version = 0;
-        std::vector<claim> claims;
+        std::vector<pending_reservation> pending;
         std::vector<settlement> settlements;
         /// A read or a write is under way.
         bool busy = false;
-        bool flush_planned = false;
-        time_point used;
+        bool flush_scheduled = false;
+        time_point last_used;
     };
 
-    static void answer(const claim& it, reservation_outcome outcome);
-    void step(const program_id& id);
+    static void complete(const pending_reservation& it, reservation_outcome outcome);
+    void process_pending(const program_id& id);
     /// @param memory_will_do whether what another gateway remembers is enough: a write under an outdated
     /// version fails, but a refusal must rest on the row itself
-    void read(const program_id& id, bool memory_will_do);
+    void read(const program_id& id, bool allow_cached);
     void write(const program_id& id, program_entry& entry);
-    void refuse_expired(program_entry& entry);
+    void expire_pending(program_entry& entry);
     /// Adds what fits to @a next.
-    static void admit(program_entry& entry, spending_row& next, std::vector<claim>& admitted);
-    void on_written(const program_id& id, const spending_row& next, std::vector<claim> admitted,
+    static void admit_pending(program_entry& entry, spending_row& next,
+                              std::vector<pending_reservation>& admitted);
+    void on_written(const program_id& id, const spending_row& next, std::vector<pending_reservation> admitted,
                     const std::vector<settlement>& settled, const change_result& result);
     /// @param fresh whether the row was read from the store just now
-    static void adopt(program_entry& entry, const std::optional<stored_row>& row, bool fresh);
-    void plan_flush(const program_id& id, program_entry& entry);
+    static void apply_row(program_entry& entry, const std::optional<stored_row>& row, bool fresh);
+    void schedule_flush(const program_id& id, program_entry& entry);
 
     row_store& m_store;
     commit_sink& m_commits;
--- a/include/masticcourse/gateway/spending_row.hpp
+++ b/include/masticcourse/gateway/spending_row.hpp
@@ -29,9 +29,9 @@
     std::vector<token_reservation> reserved;
 
     [[nodiscard]] token_count committed() const;
-    [[nodiscard]] bool has(const request_id& request) const;
+    [[nodiscard]] bool has_reservation(const request_id& request) const;
     /// Replaces a reservation, if it is there, by what the turn handed out.
-    void settle(const request_id& request, token_count handed_out);
+    void settle(const request_id& request, token_count used_tokens);
 };
 
 [[nodiscard]] std::string encode(const spending_row& row);
--- a/src/gateway/bucket_ownership.cpp
+++ b/src/gateway/bucket_ownership.cpp
@@ -16,19 +16,19 @@
 const std::string ownership_key = "buckets";
 
 /// Until the first look at the row.
-constexpr milliseconds first_look{300};
+constexpr milliseconds initial_poll_delay{300};
 /// Until the row is written if there is none: gateways that start together are then on each other's list,
 /// which is read every three seconds, and none takes the buckets of all.
-constexpr milliseconds first_write{4'000};
+constexpr milliseconds initial_write_delay{4'000};
 /// Between two looks at least: a bucket that was given up is taken that much later.
-constexpr milliseconds least_look_period{2'000};
+constexpr milliseconds min_poll_interval{2'000};
 /// Until another try after a conflict or a failure, at most, on a small site.
-constexpr milliseconds least_backoff{150};
+constexpr milliseconds min_backoff{150};
 /// Looks and tries of all gateways fall on one row. Each takes its turn in this much time for every gateway,
 /// so that the row's load is the same however many there are.
-constexpr milliseconds turn_per_gateway{20};
+constexpr milliseconds interval_per_gateway{20};
 /// Between two looks whether nothing is open any more, while leaving.
-constexpr milliseconds leaving_period{50};
+constexpr milliseconds leaving_poll_interval{50};
 
 /// A lease is renewed when half of its time has passed: a renewal that fails is tried again several times.
 constexpr int renewals_per_lease = 2;
@@ -38,7 +38,7 @@
     nlohmann::json list = nlohmann::json::array();
     for (const auto& it : buckets)
     {
-        list.push_back(it ? nlohmann::json{it->address, it->life} : nlohmann::json{});
+        list.push_back(it ? nlohmann::json{it->address, it->incarnation} : nlohmann::json{});
     }
     return list;
 }
@@ -58,7 +58,7 @@
             return std::nullopt;
         }
         buckets.push_back(
-            held ? std::optional{gateway_life{it[0].get<std::string>(), it[1].get<std::string>()}}
+            held ? std::optional{gateway_incarnation{it[0].get<std::string>(), it[1].get<std::string>()}}
                  : std::nullopt);
     }
     return buckets;
@@ -99,10 +99,10 @@
 }
 
 bucket_ownership::bucket_ownership(ownership_terms terms, row_store& store, const peer_directory& peers,
-                                   gateway_life self, delay_function delay, clock_function clock,
-                                   clock_function awake_clock)
+                                   gateway_incarnation self, delay_function delay, clock_function clock,
+                                   clock_function boottime_clock)
     : m_terms(std::move(terms)), m_store(store), m_peers(peers), m_self(std::move(self)),
-      m_delay(std::move(delay)), m_clock(std::move(clock)), m_awake_clock(std::move(awake_clock)),
+      m_delay(std::move(delay)), m_clock(std::move(clock)), m_boottime_clock(std::move(boottime_clock)),
       m_started(m_clock()), m_row{.buckets = bucket_table(m_terms.buckets)}, m_held_since(m_terms.buckets)
 {
 }
@@ -112,63 +112,64 @@
     if (!std::exchange(m_running, true))
     {
         m_started = m_clock();
-        step_later(first_look);
+        schedule_reconcile(initial_poll_delay);
     }
 }
 
-milliseconds bucket_ownership::turn_time(milliseconds least) const
+milliseconds bucket_ownership::scaled_interval(milliseconds min_interval) const
 {
-    return m_peers.period(least, turn_per_gateway);
+    return m_peers.period(min_interval, interval_per_gateway);
 }
 
-milliseconds bucket_ownership::random_pause(milliseconds least, milliseconds most)
+milliseconds bucket_ownership::random_delay(milliseconds min_delay, milliseconds max_delay)
 {
-    std::uniform_int_distribution<milliseconds::rep> pause(least.count(), most.count());
-    return milliseconds{pause(m_random)};
+    std::uniform_int_distribution<milliseconds::rep> delay(min_delay.count(), max_delay.count());
+    return milliseconds{delay(m_random)};
 }
 
-void bucket_ownership::look_later()
+void bucket_ownership::schedule_poll()
 {
-    if (m_idle)
+    if (m_is_bucket_idle)
     {
-        step_later(leaving_period);
+        schedule_reconcile(leaving_poll_interval);
         return;
     }
-    const auto until_first_write = std::chrono::ceil<milliseconds>(first_write - (m_clock() - m_started));
-    if (m_version == 0 && until_first_write > milliseconds{0})
+    const auto until_initial_write =
+        std::chrono::ceil<milliseconds>(initial_write_delay - (m_clock() - m_started));
+    if (m_version == 0 && until_initial_write > milliseconds{0})
     {
-        step_later(until_first_write + random_pause(milliseconds{0}, turn_time(least_backoff)));
+        schedule_reconcile(until_initial_write + random_delay(milliseconds{0}, scaled_interval(min_backoff)));
         return;
     }
-    const auto turn = turn_time(least_look_period);
+    const auto interval = scaled_interval(min_poll_interval);
     // Gateways that start together should not look together.
-    step_later(random_pause(turn * 3 / 4, turn * 5 / 4));
+    schedule_reconcile(random_delay(interval * 3 / 4, interval * 5 / 4));
 }
 
-void bucket_ownership::try_later()
+void bucket_ownership::schedule_retry()
 {
-    step_later(random_pause(milliseconds{1}, turn_time(least_backoff)));
+    schedule_reconcile(random_delay(milliseconds{1}, scaled_interval(min_backoff)));
 }
 
-void bucket_ownership::leave(std::function<bool(std::size_t)> idle)
+void bucket_ownership::leave(std::function<bool(std::size_t)> is_bucket_idle)
 {
-    m_idle = std::move(idle);
+    m_is_bucket_idle = std::move(is_bucket_idle);
     if (m_running)
     {
-        step_later(milliseconds{0});
+        schedule_reconcile(milliseconds{0});
     }
 }
 
-bool bucket_ownership::is_own(std::size_t bucket) const
+bool bucket_ownership::owns(std::size_t bucket) const
 {
     return m_row.buckets[bucket] == m_self;
 }
 
 bool bucket_ownership::holds(std::size_t bucket) const
 {
-    const bool leaving = m_idle && m_store.reachable();
-    const bool valid = !m_terms.lease || m_awake_clock() < m_valid_until;
-    return is_own(bucket) && valid && !leaving && !m_gave_up;
+    const bool leaving = m_is_bucket_idle && m_store.reachable();
+    const bool valid = !m_terms.lease || m_boottime_clock() < m_lease_expiry;
+    return owns(bucket) && valid && !leaving && !m_release_attempted;
 }
 
 std::optional<std::string> bucket_ownership::holder_of(std::size_t bucket) const
@@ -177,29 +178,29 @@
     return holder ? std::optional{holder->address} : std::nullopt;
 }
 
-bool bucket_ownership::may_go() const
+bool bucket_ownership::release_finished() const
 {
-    return m_idle && wish() == std::nullopt;
+    return m_is_bucket_idle && desired_row() == std::nullopt;
 }
 
-void bucket_ownership::step_later(milliseconds pause)
+void bucket_ownership::schedule_reconcile(milliseconds delay)
 {
-    m_delay(pause,
-            [this, planned = ++m_planned]
+    m_delay(delay,
+            [this, reconcile_id = ++m_reconcile_id]
             {
-                if (planned == m_planned)
+                if (reconcile_id == m_reconcile_id)
                 {
-                    step();
+                    reconcile();
                 }
             });
 }
 
-void bucket_ownership::step()
+void bucket_ownership::reconcile()
 {
-    if (m_idle && !wish())
+    if (m_is_bucket_idle && !desired_row())
     {
         // Nothing to give up yet, or any more.
-        step_later(leaving_period);
+        schedule_reconcile(leaving_poll_interval);
         return;
     }
     m_store.query({.table = m_terms.table},
@@ -207,21 +208,21 @@
                   {
                       if (reply.answered)
                       {
-                          adopt(reply.rows.empty() ? std::nullopt : std::optional{reply.rows.front()});
+                          apply_row(reply.rows.empty() ? std::nullopt : std::optional{reply.rows.front()});
                       }
-                      const auto next = reply.answered ? wish() : std::nullopt;
+                      const auto next = reply.answered ? desired_row() : std::nullopt;
                       if (next)
                       {
                           write(*next);
                       }
                       else
                       {
-                          look_later();
+                          schedule_poll();
                       }
                   });
 }
 
-void bucket_ownership::adopt(const std::optional<stored_row>& row)
+void bucket_ownership::apply_row(const std::optional<stored_row>& row)
 {
     m_version = row ? row->version : 0;
     const ownership_row empty{.buckets = bucket_table(m_terms.buckets)};
@@ -230,40 +231,41 @@
     {
         m_faults.report(row->name, row->version, "no table of buckets");
         // Nobody holds a bucket of a row that can't be read, and nobody takes one.
-        read = ownership_row{.buckets = bucket_table(m_terms.buckets, gateway_life{})};
+        read = ownership_row{.buckets = bucket_table(m_terms.buckets, gateway_incarnation{})};
     }
     m_row = std::move(*read);
-    note_own();
-    note_renewals();
+    update_held_since();
+    update_observed_renewals();
 }
 
-void bucket_ownership::note_own()
+void bucket_ownership::update_held_since()
 {
     const auto now = m_clock();
     for (std::size_t bucket = 0; bucket < m_held_since.size(); ++bucket)
     {
         auto& since = m_held_since[bucket];
-        since = is_own(bucket) ? std::optional{since.value_or(now)} : std::nullopt;
+        since = owns(bucket) ? std::optional{since.value_or(now)} : std::nullopt;
     }
 }
 
-void bucket_ownership::note_renewals()
+void bucket_ownership::update_observed_renewals()
 {
     const auto now = m_clock();
-    std::map<std::string, seen_renewal> seen;
+    std::map<std::string, observed_renewal> observed;
     for (const auto& holder : m_row.buckets)
     {
         if (!holder)
         {
             continue;
         }
-        const auto renewal = m_row.renewals.find(holder->life);
+        const auto renewal = m_row.renewals.find(holder->incarnation);
         const auto count = renewal != m_row.renewals.end() ? renewal->second : 0;
-        const auto before = m_seen.find(holder->life);
-        const bool known = before != m_seen.end() && before->second.count == count;
-        seen[holder->life] = known ? before->second : seen_renewal{.count = count, .since = now};
+        const auto before = m_observed_renewals.find(holder->incarnation);
+        const bool known = before != m_observed_renewals.end() && before->second.count == count;
+        observed[holder->incarnation] =
+            known ? before->second : observed_renewal{.count = count, .since = now};
     }
-    m_seen = std::move(seen);
+    m_observed_renewals = std::move(observed);
 }
 
 std::size_t bucket_ownership::fair_share() const
@@ -273,32 +275,32 @@
     return m_peers.is_helper() ? (m_terms.buckets + helpers - 1) / helpers : 0;
 }
 
-bool bucket_ownership::inherits(const gateway_life& holder) const
+bool bucket_ownership::inherits(const gateway_incarnation& holder) const
 {
-    const bool predecessor = holder.address == m_self.address && holder.life != m_self.life;
-    return predecessor && m_clock() - m_started >= m_terms.inherited_after;
+    const bool predecessor = holder.address == m_self.address && holder.incarnation != m_self.incarnation;
+    return predecessor && m_clock() - m_started >= m_terms.inheritance_delay;
 }
 
-bool bucket_ownership::may_take(const std::optional<gateway_life>& holder) const
+bool bucket_ownership::can_take(const std::optional<gateway_incarnation>& holder) const
 {
     if (!holder || inherits(*holder))
     {
         return true;
     }
     const auto now = m_clock();
-    const auto renewal = m_seen.find(holder->life);
-    const bool readable = !holder->life.empty();
-    return m_terms.lease && readable && *holder != m_self && renewal != m_seen.end() &&
-           now - renewal->second.since >= m_terms.lease->abandoned;
+    const auto renewal = m_observed_renewals.find(holder->incarnation);
+    const bool readable = !holder->incarnation.empty();
+    return m_terms.lease && readable && *holder != m_self && renewal != m_observed_renewals.end() &&
+           now - renewal->second.since >= m_terms.lease->takeover_timeout;
 }
 
-std::optional<ownership_row> bucket_ownership::wish() const
+std::optional<ownership_row> bucket_ownership::desired_row() const
 {
-    if (!m_idle && m_version == 0 && m_clock() - m_started < first_write)
+    if (!m_is_bucket_idle && m_version == 0 && m_clock() - m_started < initial_write_delay)
     {
         return std::nullopt;
     }
-    auto next = m_idle ? without_idle() : with_fair_share();
+    auto next = m_is_bucket_idle ? row_without_idle_buckets() : row_with_fair_share();
     const bool changed = next.buckets != m_row.buckets;
     if (!changed && !renewal_due())
     {
@@ -306,17 +308,17 @@
     }
     if (m_terms.lease)
     {
-        renew_in(next);
+        add_renewal(next);
     }
     return next;
 }
 
-ownership_row bucket_ownership::without_idle() const
+ownership_row bucket_ownership::row_without_idle_buckets() const
 {
     auto next = m_row;
     for (std::size_t bucket = 0; bucket < next.buckets.size(); ++bucket)
     {
-        if (is_own(bucket) && m_idle(bucket))
+        if (owns(bucket) && m_is_bucket_idle(bucket))
         {
             next.buckets[bucket].reset();
         }
@@ -324,7 +326,7 @@
     return next;
 }
 
-ownership_row bucket_ownership::with_fair_share() const
+ownership_row bucket_ownership::row_with_fair_share() const
 {
     auto next = m_row;
     auto held = static_cast<std::size_t>(std::ranges::count(next.buckets, std::optional{m_self}));
@@ -333,7 +335,7 @@
     {
         // What an earlier life here held is of no use to others: it is taken beyond the share as well.
         const bool inherited = it && inherits(*it);
-        if (inherited || (held < share && may_take(it)))
+        if (inherited || (held < share && can_take(it)))
         {
             it = m_self;
             ++held;
@@ -344,67 +346,68 @@
 
 bool bucket_ownership::renewal_due() const
 {
-    if (!m_terms.lease || m_idle)
+    if (!m_terms.lease || m_is_bucket_idle)
     {
         return false;
     }
     const bool holder = std::ranges::count(m_row.buckets, std::optional{m_self}) > 0;
-    return holder && m_valid_until - m_awake_clock() < m_terms.lease->valid / renewals_per_lease;
+    return holder && m_lease_expiry - m_boottime_clock() < m_terms.lease->duration / renewals_per_lease;
 }
 
-void bucket_ownership::renew_in(ownership_row& next) const
+void bucket_ownership::add_renewal(ownership_row& next) const
 {
     std::set<std::string> holders;
     for (const auto& it : next.buckets)
     {
         if (it)
         {
-            holders.insert(it->life);
+            holders.insert(it->incarnation);
         }
     }
     std::erase_if(next.renewals, [&](const auto& it) { return !holders.contains(it.first); });
-    if (holders.contains(m_self.life))
+    if (holders.contains(m_self.incarnation))
     {
-        ++next.renewals[m_self.life];
+        ++next.renewals[m_self.incarnation];
     }
 }
 
 void bucket_ownership::write(const ownership_row& next)
 {
-    m_gave_up = m_idle != nullptr;
+    m_release_attempted = m_is_bucket_idle != nullptr;
     const row_name name{m_terms.table, ownership_key};
     const row_transaction transaction{.conditions = {{name, m_version}},
                                       .puts = {{name, encode_ownership(next)}}};
-    m_store.transact(transaction, [this, next, asked = m_awake_clock()](const transaction_reply& reply)
-                     { on_written(next, asked, reply); });
+    m_store.transact(transaction, [this, next, sent_at = m_boottime_clock()](const transaction_reply& reply)
+                     { on_written(next, sent_at, reply); });
 }
 
-void bucket_ownership::on_written(const ownership_row& next, time_point asked, const transaction_reply& reply)
+void bucket_ownership::on_written(const ownership_row& next, time_point sent_at,
+                                  const transaction_reply& reply)
 {
     if (reply.outcome != store_outcome::done)
     {
         // What is not known to be done shows with the next look.
-        try_later();
+        schedule_retry();
         return;
     }
     const bool changed = next.buckets != m_row.buckets;
     m_row = next;
     m_version = reply.version;
-    note_own();
-    note_renewals();
+    update_held_since();
+    update_observed_renewals();
     if (m_terms.lease)
     {
-        m_valid_until = asked + m_terms.lease->valid;
+        m_lease_expiry = sent_at + m_terms.lease->duration;
     }
     if (changed)
     {
         log_event(event_id::buckets_changed,
                   {{"table", m_terms.table},
                    {"held", std::to_string(std::ranges::count(next.buckets, std::optional{m_self}))},
-                   {"leaving", m_idle ? "yes" : "no"},
+                   {"leaving", m_is_bucket_idle ? "yes" : "no"},
                    {"row_version", std::to_string(reply.version)}});
     }
-    look_later();
+    schedule_poll();
 }
 
 } // namespace masticcourse::gateway
--- a/src/gateway/commit_codec.cpp
+++ b/src/gateway/commit_codec.cpp
@@ -136,8 +136,8 @@
 
 std::string encode(const overdraft_message& message)
 {
-    return encode_cbor(json::array({json::array(
-        {static_cast<int>(message.step), message.program.value, message.request.value, message.tokens})}));
+    return encode_cbor(json::array({json::array({static_cast<int>(message.operation), message.program.value,
+                                                 message.request.value, message.tokens})}));
 }
 
 std::optional<overdraft_message> decode_overdraft(const std::string& bytes)
@@ -145,7 +145,8 @@
     return decode_single(bytes,
                          [](const json& it)
                          {
-                             return overdraft_message{.step = to_enum(it.at(0), overdraft_step::settle),
+                             return overdraft_message{.operation =
+                                                          to_enum(it.at(0), overdraft_operation::settle),
                                                       .program = {it.at(1).get<std::string>()},
                                                       .request = {it.at(2).get<std::string>()},
                                                       .tokens = to_integer(it.at(3))};
--- a/src/gateway/forwarded_request.cpp
+++ b/src/gateway/forwarded_request.cpp
@@ -200,7 +200,7 @@
 void forwarded_request::start_budgeted_turn()
 {
     const auto& context = *m_request.program;
-    if (previous_turn() && m_services.spending.unknown(context.program))
+    if (previous_turn() && m_services.spending.is_unknown(context.program))
     {
         m_services.spending.look_up(context.program, [self = shared_from_this()] { self->reserve(); });
         return;
@@ -219,9 +219,9 @@
                                           .request = m_request.id,
                                           .tokens = context.max_tokens,
                                           .budget = *context.budget,
-                                          .first = !previous_turn().has_value(),
+                                          .first_turn = !previous_turn().has_value(),
                                           .expires = m_deadline};
-    m_await_reservation = !m_services.spending.ample(reservation);
+    m_await_reservation = !m_services.spending.has_headroom(reservation);
     if (m_await_reservation && is_retained() && !m_services.store.reachable())
     {
         refuse(refusal_reason::store_away, ran_state::no, "the store that keeps budgets is away",
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -324,8 +324,8 @@
     }
     last_sweep = now;
     targets.expire(now);
-    spending.forget_idle(now);
-    overdrafts.forget_idle();
+    spending.evict_idle(now);
+    overdrafts.evict_idle();
     if (ready() != was_ready)
     {
         was_ready = ready();
@@ -361,7 +361,7 @@
     }
     // Releasing buckets needs the store, so shutdown does not wait for it while the store is unreachable.
     const bool buckets_released =
-        (overdraft_buckets.may_go() && quota_buckets.may_go()) || !store.reachable();
+        (overdraft_buckets.release_finished() && quota_buckets.release_finished()) || !store.reachable();
     const bool idle = frontend->open_exchanges() == 0 && commits.pending() == 0 && buckets_released;
     // After `stop_accepting`, idle connections get the server's grace period for requests in transit.
     const bool settled = waited >= readiness_propagation_time + http_limits{}.stop_grace + sweep_period;
--- a/src/gateway/overdraft.cpp
+++ b/src/gateway/overdraft.cpp
@@ -8,19 +8,27 @@
 ownership_terms overdraft_ownership_terms()
 {
     // What a life that died had open is not known: its buckets stay its own until no program of then is left.
-    return {.table = "overdraft", .buckets = overdraft_bucket_count, .inherited_after = longest_program};
+    return {
+        .table = "overdraft", .buckets = overdraft_bucket_count, .inheritance_delay = max_program_idle_time};
 }
 
-void overdraft::draw(const program_id& program, const request_id& request, token_count most,
+void overdraft::draw(const program_id& program, const request_id& request, token_count max_tokens,
                      draw_callback on_grant)
 {
-    tell({.step = overdraft_step::draw, .program = program, .request = request, .tokens = most},
+    send({.operation = overdraft_operation::draw,
+          .program = program,
+          .request = request,
+          .tokens = max_tokens},
          std::move(on_grant));
 }
 
-void overdraft::settle(const program_id& program, const request_id& request, token_count used)
+void overdraft::settle(const program_id& program, const request_id& request, token_count used_tokens)
 {
-    tell({.step = overdraft_step::settle, .program = program, .request = request, .tokens = used}, nullptr);
+    send({.operation = overdraft_operation::settle,
+          .program = program,
+          .request = request,
+          .tokens = used_tokens},
+         nullptr);
 }
 
 void overdraft::clear(const program_id& program, const request_id& request)
@@ -28,9 +36,9 @@
     settle(program, request, 0);
 }
 
-void overdraft::tell(const overdraft_message& message, draw_callback on_grant)
+void overdraft::send(const overdraft_message& message, draw_callback on_grant)
 {
-    const auto report = [on_grant = std::move(on_grant)](token_count granted)
+    const auto complete = [on_grant = std::move(on_grant)](token_count granted)
     {
         if (on_grant)
         {
@@ -39,22 +47,22 @@
     };
     const auto bucket = overdraft_bucket_of(message.program.value);
     const auto holder = m_buckets.holder_of(bucket);
-    if (m_buckets.is_own(bucket) || !holder)
+    if (m_buckets.owns(bucket) || !holder)
     {
-        report(apply(message));
+        complete(apply(message));
         return;
     }
     m_call(*holder, encode(message),
-           [report](const std::optional<std::string>& answer)
+           [complete](const std::optional<std::string>& answer)
            {
                const auto granted = answer ? decode_grant(*answer) : std::nullopt;
-               report(granted.value_or(0));
+               complete(granted.value_or(0));
            });
 }
 
 token_count overdraft::apply(const overdraft_message& message)
 {
-    if (message.step == overdraft_step::settle)
+    if (message.operation == overdraft_operation::settle)
     {
         m_ledger.settle(message.program, message.request, message.tokens);
         return 0;
--- a/src/gateway/overdraft_ledger.cpp
+++ b/src/gateway/overdraft_ledger.cpp
@@ -11,7 +11,7 @@
 {
 
 /// Programs with something open, some hundred bytes each. Beyond it nothing more is allowed.
-constexpr std::size_t most_programs = 20'000;
+constexpr std::size_t max_programs = 20'000;
 
 } // namespace
 
@@ -22,50 +22,50 @@
     return XXH3_64bits_withSeed(program.data(), program.size(), seed) % overdraft_bucket_count;
 }
 
-token_count overdraft_ledger::program_account::sum_without(const request_id& request) const
+token_count overdraft_ledger::program_account::outstanding_excluding(const request_id& request) const
 {
-    return std::accumulate(open.begin(), open.end(), token_count{0},
+    return std::accumulate(outstanding.begin(), outstanding.end(), token_count{0},
                            [&](token_count sum, const auto& it)
                            { return it.first == request ? sum : sum + it.second; });
 }
 
-token_count overdraft_ledger::draw(const program_id& program, const request_id& request, token_count most,
-                                   time_point now)
+token_count overdraft_ledger::draw(const program_id& program, const request_id& request,
+                                   token_count max_tokens, time_point now)
 {
-    if (most <= 0 || (m_programs.size() >= most_programs && !m_programs.contains(program)))
+    if (max_tokens <= 0 || (m_programs.size() >= max_programs && !m_programs.contains(program)))
     {
         return 0;
     }
     auto& account = m_programs[program];
-    account.used = now;
-    account.limit = account.limit == 0 ? most : std::min(account.limit, most);
-    const auto granted = std::max(token_count{0}, account.limit - account.sum_without(request));
+    account.last_used = now;
+    account.limit = account.limit == 0 ? max_tokens : std::min(account.limit, max_tokens);
+    const auto granted = std::max(token_count{0}, account.limit - account.outstanding_excluding(request));
     if (granted > 0)
     {
-        account.open[request] = granted;
+        account.outstanding[request] = granted;
     }
     return granted;
 }
 
-void overdraft_ledger::settle(const program_id& program, const request_id& request, token_count used)
+void overdraft_ledger::settle(const program_id& program, const request_id& request, token_count used_tokens)
 {
     const auto it = m_programs.find(program);
     if (it == m_programs.end())
     {
         return;
     }
-    const auto open = it->second.open.find(request);
-    if (open == it->second.open.end())
+    const auto entry = it->second.outstanding.find(request);
+    if (entry == it->second.outstanding.end())
     {
         return;
     }
-    if (used <= 0)
+    if (used_tokens <= 0)
     {
         clear(program, request);
         return;
     }
     // More than was allowed is not handed out; what is said beyond it comes of events that were held back.
-    open->second = std::min(open->second, used);
+    entry->second = std::min(entry->second, used_tokens);
 }
 
 void overdraft_ledger::clear(const program_id& program, const request_id& request)
@@ -75,8 +75,8 @@
     {
         return;
     }
-    it->second.open.erase(request);
-    if (it->second.open.empty())
+    it->second.outstanding.erase(request);
+    if (it->second.outstanding.empty())
     {
         m_programs.erase(it);
     }
@@ -88,9 +88,10 @@
                                 { return overdraft_bucket_of(it.first.value) == bucket; });
 }
 
-void overdraft_ledger::forget(time_point now)
+void overdraft_ledger::evict_idle(time_point now)
 {
-    std::erase_if(m_programs, [now](const auto& it) { return now - it.second.used >= longest_program; });
+    std::erase_if(m_programs,
+                  [now](const auto& it) { return now - it.second.last_used >= max_program_idle_time; });
 }
 
 } // namespace masticcourse::gateway
--- a/src/gateway/program_spending.cpp
+++ b/src/gateway/program_spending.cpp
@@ -19,28 +19,28 @@
 
 /// How long a settlement waits for the program's next turn to carry it along, which saves a write. The
 /// platform counts a turn at its most for a second after its end; this leaves time for a slow store.
-constexpr milliseconds settlement_wait{300};
+constexpr milliseconds settlement_flush_delay{300};
 /// Turns of the present size that the budget must still hold besides, for a turn to start before its
 /// reservation is written: a runaway program starts about a dozen at once over several gateways.
-constexpr token_count ample_turns = 3;
+constexpr token_count headroom_turns = 3;
 /// How long a program without turns is remembered.
-constexpr seconds idle_limit{60};
+constexpr seconds idle_timeout{60};
 /// How long a settlement is tried; given up, its reservation stays counted in full.
-constexpr seconds settlement_life{20};
+constexpr seconds settlement_timeout{20};
 
 /// The end of the range that holds @a key alone: ids hold no character below the one appended.
-std::string key_after(const std::string& key)
+std::string next_key(const std::string& key)
 {
     return key + ' ';
 }
 
-row_query query_of(const program_id& id, bool memory_will_do)
+row_query query_of(const program_id& id, bool allow_cached)
 {
     return {.table = spending_table,
             .partition = partition_of(id.value),
             .from = id.value,
-            .to = key_after(id.value),
-            .allow_cached = memory_will_do};
+            .to = next_key(id.value),
+            .allow_cached = allow_cached};
 }
 
 std::optional<stored_row> first_row(const query_reply& reply)
@@ -56,22 +56,22 @@
 {
 }
 
-bool program_spending::ample(const reservation_request& request) const
+bool program_spending::has_headroom(const reservation_request& request) const
 {
-    const auto needed = request.tokens * (1 + ample_turns);
+    const auto needed = request.tokens * (1 + headroom_turns);
     const auto it = m_programs.find(request.program);
     if (it == m_programs.end() || !it->second.row)
     {
-        return request.first && needed <= request.budget;
+        return request.first_turn && needed <= request.budget;
     }
     const auto& entry = it->second;
-    const auto waiting = std::accumulate(entry.claims.begin(), entry.claims.end(), token_count{0},
-                                         [](token_count sum, const auto& waiting_claim)
-                                         { return sum + waiting_claim.request.tokens; });
-    return entry.row->committed() + waiting + needed <= request.budget;
+    const auto pending_tokens =
+        std::accumulate(entry.pending.begin(), entry.pending.end(), token_count{0},
+                        [](token_count sum, const auto& other) { return sum + other.request.tokens; });
+    return entry.row->committed() + pending_tokens + needed <= request.budget;
 }
 
-bool program_spending::unknown(const program_id& id) const
+bool program_spending::is_unknown(const program_id& id) const
 {
     const auto it = m_programs.find(id);
     return it == m_programs.end() || (!it->second.row && !it->second.busy);
@@ -79,14 +79,14 @@
 
 void program_spending::look_up(const program_id& id, std::function<void()> on_end)
 {
-    m_programs[id].used = m_clock();
+    m_programs[id].last_used = m_clock();
     m_store.query(query_of(id, true),
                   [this, id, on_end = std::move(on_end)](const query_reply& reply)
                   {
                       auto& entry = m_programs[id];
                       if (reply.answered && !entry.row && !entry.busy)
                       {
-                          adopt(entry, first_row(reply), !reply.from_cache);
+                          apply_row(entry, first_row(reply), !reply.from_cache);
                       }
                       on_end();
                   });
@@ -96,14 +96,14 @@
 {
     const auto id = request.program;
     auto& entry = m_programs[id];
-    entry.used = m_clock();
-    if (!entry.row && entry.version == 0 && request.first && !entry.busy)
+    entry.last_used = m_clock();
+    if (!entry.row && entry.version == 0 && request.first_turn && !entry.busy)
     {
         // Presumably new: a write under the condition that there is no row saves the read.
         entry.row.emplace();
     }
-    entry.claims.push_back({std::move(request), std::move(on_result)});
-    step(id);
+    entry.pending.push_back({std::move(request), std::move(on_result)});
+    process_pending(id);
 }
 
 void program_spending::settle(const program_id& id, const request_id& request, token_count tokens)
@@ -114,31 +114,32 @@
         return;
     }
     auto& entry = it->second;
-    entry.used = m_clock();
+    entry.last_used = m_clock();
     // A claim that has not been written yet need not be any more.
-    const auto withdrawn =
-        std::erase_if(entry.claims, [&](const claim& one) { return one.request.request == request; });
+    const auto withdrawn = std::erase_if(entry.pending, [&](const pending_reservation& one)
+                                         { return one.request.request == request; });
     if (withdrawn == 0)
     {
         entry.settlements.push_back({request, tokens});
     }
-    plan_flush(id, entry);
+    schedule_flush(id, entry);
 }
 
 void program_spending::charge(reservation_request turn, charge_callback on_durable)
 {
     const auto id = turn.program;
     auto& entry = m_programs[id];
-    entry.used = m_clock();
-    std::erase_if(entry.claims, [&](const claim& one) { return one.request.request == turn.request; });
+    entry.last_used = m_clock();
+    std::erase_if(entry.pending,
+                  [&](const pending_reservation& one) { return one.request.request == turn.request; });
     // Should the turn's own claim be under way, what it reserves is settled with it.
     entry.settlements.push_back({turn.request, turn.tokens});
-    turn.expires = m_clock() + settlement_life;
-    entry.claims.push_back({.request = std::move(turn), .on_result = std::move(on_durable)});
-    plan_flush(id, entry);
+    turn.expires = m_clock() + settlement_timeout;
+    entry.pending.push_back({.request = std::move(turn), .on_result = std::move(on_durable)});
+    schedule_flush(id, entry);
 }
 
-void program_spending::answer(const claim& it, reservation_outcome outcome)
+void program_spending::complete(const pending_reservation& it, reservation_outcome outcome)
 {
     if (const auto* const on_reserved = std::get_if<reservation_callback>(&it.on_result))
     {
@@ -146,30 +147,30 @@
     }
     else if (outcome == reservation_outcome::granted)
     {
-        std::get<charge_callback>(it.on_result)(it.beyond);
+        std::get<charge_callback>(it.on_result)(it.excess_tokens);
     }
 }
 
-void program_spending::forget_idle(time_point now)
+void program_spending::evict_idle(time_point now)
 {
     std::erase_if(m_programs,
                   [now](const auto& it)
                   {
                       const auto& entry = it.second;
-                      return !entry.busy && entry.claims.empty() && entry.settlements.empty() &&
-                             entry.used + idle_limit < now;
+                      return !entry.busy && entry.pending.empty() && entry.settlements.empty() &&
+                             entry.last_used + idle_timeout < now;
                   });
 }
 
-void program_spending::step(const program_id& id)
+void program_spending::process_pending(const program_id& id)
 {
     auto& entry = m_programs[id];
     if (entry.busy)
     {
         return;
     }
-    refuse_expired(entry);
-    if (entry.claims.empty() && entry.settlements.empty())
+    expire_pending(entry);
+    if (entry.pending.empty() && entry.settlements.empty())
     {
         return;
     }
@@ -181,30 +182,31 @@
     write(id, entry);
 }
 
-void program_spending::refuse_expired(program_entry& entry)
+void program_spending::expire_pending(program_entry& entry)
 {
     const auto now = m_clock();
-    const auto expired = std::ranges::stable_partition(entry.claims, [now](const claim& it)
+    const auto expired = std::ranges::stable_partition(entry.pending, [now](const pending_reservation& it)
                                                        { return it.request.expires > now; });
-    std::vector<claim> refused{std::make_move_iterator(expired.begin()),
-                               std::make_move_iterator(expired.end())};
-    entry.claims.erase(expired.begin(), expired.end());
-    std::ranges::for_each(refused, [](const claim& it) { answer(it, reservation_outcome::unavailable); });
+    std::vector<pending_reservation> refused{std::make_move_iterator(expired.begin()),
+                                             std::make_move_iterator(expired.end())};
+    entry.pending.erase(expired.begin(), expired.end());
+    std::ranges::for_each(refused, [](const pending_reservation& it)
+                          { complete(it, reservation_outcome::unavailable); });
 }
 
-void program_spending::read(const program_id& id, bool memory_will_do)
+void program_spending::read(const program_id& id, bool allow_cached)
 {
     auto& entry = m_programs[id];
     entry.busy = true;
-    m_store.query(query_of(id, memory_will_do),
+    m_store.query(query_of(id, allow_cached),
                   [this, id](const query_reply& reply)
                   {
                       auto& read_entry = m_programs[id];
                       read_entry.busy = false;
                       if (reply.answered)
                       {
-                          adopt(read_entry, first_row(reply), !reply.from_cache);
-                          step(id);
+                          apply_row(read_entry, first_row(reply), !reply.from_cache);
+                          process_pending(id);
                           return;
                       }
                       // The store is away: asked again after a pause, until the claims' time is over.
@@ -213,48 +215,51 @@
                               [this, id]
                               {
                                   m_programs[id].busy = false;
-                                  step(id);
+                                  process_pending(id);
                               });
                   });
 }
 
-void program_spending::adopt(program_entry& entry, const std::optional<stored_row>& row, bool fresh)
+void program_spending::apply_row(program_entry& entry, const std::optional<stored_row>& row, bool fresh)
 {
     entry.version = row ? row->version : 0;
     // A row that can't be read counts as a program that has spent all: no turn runs on a guess.
-    constexpr token_count all = token_count{1} << 40U;
-    entry.row = row ? decode_spending(row->value).value_or(spending_row{.spent = all}) : spending_row{};
-    std::ranges::for_each(entry.claims, [fresh](claim& it) { it.fresh = it.fresh || fresh; });
+    constexpr token_count exhausted_tokens = token_count{1} << 40U;
+    entry.row =
+        row ? decode_spending(row->value).value_or(spending_row{.spent = exhausted_tokens}) : spending_row{};
+    std::ranges::for_each(entry.pending, [fresh](pending_reservation& it) { it.fresh = it.fresh || fresh; });
 }
 
-void program_spending::admit(program_entry& entry, spending_row& next, std::vector<claim>& admitted)
+void program_spending::admit_pending(program_entry& entry, spending_row& next,
+                                     std::vector<pending_reservation>& admitted)
 {
-    std::vector<claim> stale;
-    for (auto& it : std::exchange(entry.claims, {}))
+    std::vector<pending_reservation> stale;
+    for (auto& it : std::exchange(entry.pending, {}))
     {
-        const bool there = next.has(it.request.request);
+        const bool already_reserved = next.has_reservation(it.request.request);
         const bool fits = next.committed() + it.request.tokens <= it.request.budget;
-        const bool handed_out = std::holds_alternative<charge_callback>(it.on_result);
-        if (there || fits || handed_out)
+        const bool is_charge = std::holds_alternative<charge_callback>(it.on_result);
+        if (already_reserved || fits || is_charge)
         {
-            if (!there)
+            if (!already_reserved)
             {
                 next.reserved.push_back({it.request.request, it.request.tokens});
             }
-            it.beyond = std::clamp(next.committed() - it.request.budget, token_count{0}, it.request.tokens);
+            it.excess_tokens =
+                std::clamp(next.committed() - it.request.budget, token_count{0}, it.request.tokens);
             admitted.push_back(std::move(it));
         }
         else if (it.fresh)
         {
-            answer(it, reservation_outcome::over_budget);
+            complete(it, reservation_outcome::over_budget);
         }
         else
         {
             stale.push_back(std::move(it));
         }
     }
-    entry.claims.insert(entry.claims.begin(), std::make_move_iterator(stale.begin()),
-                        std::make_move_iterator(stale.end()));
+    entry.pending.insert(entry.pending.begin(), std::make_move_iterator(stale.begin()),
+                         std::make_move_iterator(stale.end()));
 }
 
 void program_spending::write(const program_id& id, program_entry& entry)
@@ -262,22 +267,22 @@
     entry.busy = true;
     auto next = *entry.row;
     const auto settled = std::exchange(entry.settlements, {});
-    const auto claimed = [&entry](const settlement& it)
+    const auto has_pending = [&entry](const settlement& it)
     {
-        return std::ranges::any_of(entry.claims,
-                                   [&it](const claim& one) { return one.request.request == it.request; });
+        return std::ranges::any_of(entry.pending, [&it](const pending_reservation& one)
+                                   { return one.request.request == it.request; });
     };
     const auto settle = [&next](const settlement& it) { next.settle(it.request, it.tokens); };
-    std::ranges::for_each(settled | std::views::filter(std::not_fn(claimed)), settle);
-    std::vector<claim> admitted;
-    admit(entry, next, admitted);
+    std::ranges::for_each(settled | std::views::filter(std::not_fn(has_pending)), settle);
+    std::vector<pending_reservation> admitted;
+    admit_pending(entry, next, admitted);
     // A turn may have ended while its claim was written in vain: claimed anew, it is settled after that.
     std::ranges::for_each(settled, settle);
     if (admitted.empty() && settled.empty())
     {
         // All that is left would be refused, on what was known before they came: read the row first.
         entry.busy = false;
-        if (!entry.claims.empty())
+        if (!entry.pending.empty())
         {
             read(id, false);
         }
@@ -287,24 +292,27 @@
     {
         // All of it stands in the row already: the answers to earlier writes were lost.
         entry.busy = false;
-        std::ranges::for_each(admitted, [](const claim& it) { answer(it, reservation_outcome::granted); });
-        step(id);
+        std::ranges::for_each(admitted, [](const pending_reservation& it)
+                              { complete(it, reservation_outcome::granted); });
+        process_pending(id);
         return;
     }
-    const auto latest = [](time_point t, const claim& it) { return std::max(t, it.request.expires); };
+    const auto latest = [](time_point t, const pending_reservation& it)
+    { return std::max(t, it.request.expires); };
     const auto expires =
         std::accumulate(admitted.begin(), admitted.end(),
-                        settled.empty() ? time_point{} : m_clock() + settlement_life, latest);
+                        settled.empty() ? time_point{} : m_clock() + settlement_timeout, latest);
     row_change change{.condition = row_condition{{spending_table, id.value}, entry.version},
                       .puts = {{{spending_table, id.value}, encode(next)}},
                       .expires = expires};
-    auto held = std::make_shared<std::vector<claim>>(std::move(admitted));
+    auto shared_admitted = std::make_shared<std::vector<pending_reservation>>(std::move(admitted));
     m_commits.submit(partition_of(id.value), std::move(change),
-                     [this, id, next, held, settled](const auto& result)
-                     { on_written(id, next, std::move(*held), settled, result); });
+                     [this, id, next, shared_admitted, settled](const auto& result)
+                     { on_written(id, next, std::move(*shared_admitted), settled, result); });
 }
 
-void program_spending::on_written(const program_id& id, const spending_row& next, std::vector<claim> admitted,
+void program_spending::on_written(const program_id& id, const spending_row& next,
+                                  std::vector<pending_reservation> admitted,
                                   const std::vector<settlement>& settled, const change_result& result)
 {
     auto& entry = m_programs[id];
@@ -313,41 +321,42 @@
     {
         entry.row = next;
         entry.version = result.version;
-        std::ranges::for_each(admitted, [](const claim& it) { answer(it, reservation_outcome::granted); });
-        step(id);
+        std::ranges::for_each(admitted, [](const pending_reservation& it)
+                              { complete(it, reservation_outcome::granted); });
+        process_pending(id);
         return;
     }
     // Not known to be done: what was claimed is claimed again.
-    entry.claims.insert(entry.claims.begin(), std::make_move_iterator(admitted.begin()),
-                        std::make_move_iterator(admitted.end()));
+    entry.pending.insert(entry.pending.begin(), std::make_move_iterator(admitted.begin()),
+                         std::make_move_iterator(admitted.end()));
     if (result.outcome == store_outcome::conflict)
     {
         entry.settlements.insert(entry.settlements.begin(), settled.begin(), settled.end());
-        adopt(entry, result.current, true);
+        apply_row(entry, result.current, true);
     }
     else
     {
         // What was settled has been tried for its whole life; what has ended since is still to be settled.
         entry.row.reset();
     }
-    step(id);
+    process_pending(id);
 }
 
-void program_spending::plan_flush(const program_id& id, program_entry& entry)
+void program_spending::schedule_flush(const program_id& id, program_entry& entry)
 {
-    if (entry.flush_planned)
+    if (entry.flush_scheduled)
     {
         return;
     }
-    entry.flush_planned = true;
-    m_delay(settlement_wait,
+    entry.flush_scheduled = true;
+    m_delay(settlement_flush_delay,
             [this, id]
             {
                 const auto it = m_programs.find(id);
                 if (it != m_programs.end())
                 {
-                    it->second.flush_planned = false;
-                    step(id);
+                    it->second.flush_scheduled = false;
+                    process_pending(id);
                 }
             });
 }
--- a/src/gateway/quota/workspace_quotas.cpp
+++ b/src/gateway/quota/workspace_quotas.cpp
@@ -48,7 +48,7 @@
     // A slice starts empty, so the next life on a VM goes on with it at once.
     return {.table = "quota",
             .buckets = quota_bucket_count,
-            .inherited_after = seconds{0},
+            .inheritance_delay = seconds{0},
             .lease = lease_terms{}};
 }
 
@@ -197,7 +197,7 @@
         return true;
     }
     const auto holder = m_buckets.holder_of(bucket);
-    if (!holder || m_buckets.is_own(bucket))
+    if (!holder || m_buckets.owns(bucket))
     {
         return false;
     }
@@ -272,7 +272,7 @@
             }
         }
     }
-    else if (m_buckets.is_own(quota_bucket_of(question.slice)))
+    else if (m_buckets.owns(quota_bucket_of(question.slice)))
     {
         // Held here a moment ago, and given up since.
         it.pauses.pause(question.slice.index, quota_need::start, m_awake_clock() + not_holder_pause);
--- a/src/gateway/spending_row.cpp
+++ b/src/gateway/spending_row.cpp
@@ -13,16 +13,16 @@
                            [](token_count sum, const auto& it) { return sum + it.tokens; });
 }
 
-bool spending_row::has(const request_id& request) const
+bool spending_row::has_reservation(const request_id& request) const
 {
     return std::ranges::find(reserved, request, &token_reservation::request) != reserved.end();
 }
 
-void spending_row::settle(const request_id& request, token_count handed_out)
+void spending_row::settle(const request_id& request, token_count used_tokens)
 {
     const auto erased =
         std::erase_if(reserved, [&](const token_reservation& it) { return it.request == request; });
-    spent += erased > 0 ? handed_out : 0;
+    spent += erased > 0 ? used_tokens : 0;
 }
 
 std::string encode(const spending_row& row)
--- a/tests/unit/test_gateway_collected_rows.cpp
+++ b/tests/unit/test_gateway_collected_rows.cpp
@@ -99,7 +99,7 @@
                                        .request = {request},
                                        .tokens = tokens,
                                        .budget = 1'000,
-                                       .first = first,
+                                       .first_turn = first,
                                        .expires = time.now() + 1s},
                                       [&outcome](reservation_outcome it) { outcome = it; });
         time.run(1'500ms);
@@ -190,8 +190,9 @@
             spending.look_up({"p"}, [&ended] { ended = true; });
             world.time.run(100ms);
             CHECK(ended);
-            CHECK_FALSE(spending.unknown({"p"}));
-            CHECK(spending.ample({.program = {"p"}, .request = {"c"}, .tokens = 100, .budget = 1'000}));
+            CHECK_FALSE(spending.is_unknown({"p"}));
+            CHECK(
+                spending.has_headroom({.program = {"p"}, .request = {"c"}, .tokens = 100, .budget = 1'000}));
             const auto chain = world.load(at, "b");
             CHECK(chain.outcome == chain_outcome::found);
             CHECK(chain.prompt == "in a;out\nin b;out\n");
--- a/tests/unit/test_gateway_overdraft.cpp
+++ b/tests/unit/test_gateway_overdraft.cpp
@@ -34,9 +34,9 @@
   public:
     struct member
     {
-        member(gateway_group& group, const std::string& address, const std::string& life)
+        member(gateway_group& group, const std::string& address, const std::string& incarnation)
             : store(group.rows, group.time.delays()), peers({.address = address}),
-              buckets(overdraft_ownership_terms(), store, peers, {address, life}, group.time.delays(),
+              buckets(overdraft_ownership_terms(), store, peers, {address, incarnation}, group.time.delays(),
                       group.time.clock(), group.time.clock()),
               overdrafts(
                   buckets,
@@ -53,13 +53,13 @@
         overdraft overdrafts;
     };
 
-    explicit gateway_group(std::size_t count, milliseconds settling = 20s)
+    explicit gateway_group(std::size_t count, milliseconds startup_time = 20s)
     {
         for (std::size_t n = 0; n < count; ++n)
         {
             start("g" + std::to_string(n));
         }
-        time.run(settling);
+        time.run(startup_time);
     }
 
     /// @return calls made to the store so far
@@ -75,7 +75,7 @@
     member& start(const std::string& address)
     {
         stop(address);
-        members[address] = std::make_unique<member>(*this, address, std::to_string(++lives));
+        members[address] = std::make_unique<member>(*this, address, std::to_string(++incarnations_started));
         list_peers();
         return *members[address];
     }
@@ -85,7 +85,7 @@
     {
         if (const auto it = members.find(address); it != members.end())
         {
-            dead.push_back(std::move(it->second));
+            stopped.push_back(std::move(it->second));
             members.erase(it);
             list_peers();
         }
@@ -95,8 +95,8 @@
               const std::function<void(std::optional<std::string>)>& on_answer)
     {
         const auto it = members.find(to);
-        on_answer(it != members.end() && !cut.contains(to) ? it->second->overdrafts.serve(message)
-                                                           : std::nullopt);
+        on_answer(it != members.end() && !unreachable.contains(to) ? it->second->overdrafts.serve(message)
+                                                                   : std::nullopt);
     }
 
     token_count draw(const std::string& at, const std::string& program, const std::string& request,
@@ -131,9 +131,9 @@
     virtual_time time;
     row_table rows;
     std::map<std::string, std::unique_ptr<member>> members;
-    std::vector<std::unique_ptr<member>> dead;
-    std::set<std::string> cut;
-    int lives = 0;
+    std::vector<std::unique_ptr<member>> stopped;
+    std::set<std::string> unreachable;
+    int incarnations_started = 0;
 };
 
 } // namespace
@@ -168,16 +168,16 @@
 TEST_CASE("the row of buckets there and back, and nothing that is none")
 {
     ownership_row row{.buckets = bucket_table(overdraft_bucket_count)};
-    row.buckets[3] = gateway_life{"10.0.0.1:7380", "17"};
+    row.buckets[3] = gateway_incarnation{"10.0.0.1:7380", "17"};
     CHECK(decode_ownership(encode_ownership(row), overdraft_bucket_count) == row);
     for (const auto* text : {"", "[]", "{}", "[1]", "null"})
     {
         CHECK_FALSE(decode_ownership(text, overdraft_bucket_count));
     }
-    const overdraft_message message{overdraft_step::settle, {"p"}, {"r"}, 7};
+    const overdraft_message message{overdraft_operation::settle, {"p"}, {"r"}, 7};
     const auto read = decode_overdraft(encode(message));
     REQUIRE(read);
-    CHECK(read->step == message.step);
+    CHECK(read->operation == message.operation);
     CHECK(read->tokens == 7);
     CHECK(decode_grant(encode_grant(286)) == 286);
     CHECK_FALSE(decode_grant("286"));
@@ -250,7 +250,7 @@
     SUBCASE("a holder that does not answer allows nothing")
     {
         const auto holder = group.holders(overdraft_bucket_of("q")).front();
-        group.cut.insert(holder);
+        group.unreachable.insert(holder);
         CHECK(group.draw(holder == "g0" ? "g1" : "g0", "q", "d") == 0);
         CHECK(group.draw(holder, "q", "d") == 100);
     }
@@ -282,13 +282,13 @@
     CHECK(group.draw(holder, "p", "a") == 100);
     leaving.buckets.leave([&leaving](std::size_t it) { return leaving.overdrafts.idle(it); });
     group.time.run(1s);
-    CHECK(leaving.buckets.is_own(bucket));
+    CHECK(leaving.buckets.owns(bucket));
     CHECK(group.holders(bucket).empty());
     CHECK(group.draw(holder, "p", "c") == 0);
     leaving.overdrafts.clear({"p"}, {"a"});
     group.time.run(1s);
-    CHECK_FALSE(leaving.buckets.is_own(bucket));
-    CHECK(leaving.buckets.may_go());
+    CHECK_FALSE(leaving.buckets.owns(bucket));
+    CHECK(leaving.buckets.release_finished());
     group.stop(holder);
     group.time.run(10s);
     CHECK(group.holders(bucket).size() == 1);
@@ -348,8 +348,8 @@
                     }
                     break;
                 case 4:
-                    how % 2 == 0 ? static_cast<void>(group.cut.insert(at))
-                                 : static_cast<void>(group.cut.erase(at));
+                    how % 2 == 0 ? static_cast<void>(group.unreachable.insert(at))
+                                 : static_cast<void>(group.unreachable.erase(at));
                     group.members.at(at)->store.mode =
                         how % 3 == 0 ? store_mode::unresponsive : store_mode::available;
                     break;
@@ -414,7 +414,7 @@
     }
     SUBCASE("a program that has had most of it is refused at once, with a time to come back")
     {
-        std::ignore = world.overdrafts.serve(encode({overdraft_step::draw, {"p"}, {"other"}, 100}));
+        std::ignore = world.overdrafts.serve(encode({overdraft_operation::draw, {"p"}, {"other"}, 100}));
         const auto sent = world.sent.size();
         const auto next = world.send(world.make_budgeted_request("plan", "b", 250));
         CHECK(body_of(*next) == "store_away");
--- a/tests/unit/test_gateway_spending.cpp
+++ b/tests/unit/test_gateway_spending.cpp
@@ -25,9 +25,9 @@
 /// Sends a message to the gateway of that address.
 using member_call = std::function<void(const std::string&, const std::string&, const collector_callback&)>;
 
-struct spender
+struct gateway_member
 {
-    spender(row_table& rows, virtual_time& time, const std::string& address, const member_call& call)
+    gateway_member(row_table& rows, virtual_time& time, const std::string& address, const member_call& call)
         : store(rows, time.delays()), peers({address, 1}), own(store, time.delays(), time.clock()),
           commits(own, store, peers, call, time.delays(), time.clock()),
           spending(store, commits, time.delays(), time.clock())
@@ -45,7 +45,7 @@
 {
     virtual_time time;
     row_table rows;
-    std::vector<std::unique_ptr<spender>> gateways;
+    std::vector<std::unique_ptr<gateway_member>> gateways;
     std::map<std::string, reservation_outcome> outcomes;
     bool collects = false;
 
@@ -58,7 +58,7 @@
         }
     }
 
-    std::unique_ptr<spender> make(std::size_t n, std::size_t count)
+    std::unique_ptr<gateway_member> make(std::size_t n, std::size_t count)
     {
         const auto call =
             [this](const std::string& to, const std::string& bytes, const collector_callback& on_answer)
@@ -66,7 +66,7 @@
             time.delays()(1ms, [this, to, bytes, on_answer]
                           { gateways[std::stoul(to)]->commits.collect(bytes, on_answer); });
         };
-        auto made = std::make_unique<spender>(rows, time, std::to_string(n), call);
+        auto made = std::make_unique<gateway_member>(rows, time, std::to_string(n), call);
         std::vector<peer> peers;
         for (std::size_t other = 0; collects && other < count; ++other)
         {
@@ -77,13 +77,13 @@
     }
 
     void reserve(std::size_t at, const std::string& request, token_count tokens, token_count budget,
-                 bool first = false, milliseconds life = 3s)
+                 bool first_turn = false, milliseconds life = 3s)
     {
         gateways[at]->spending.reserve({.program = {"p"},
                                         .request = {request},
                                         .tokens = tokens,
                                         .budget = budget,
-                                        .first = first,
+                                        .first_turn = first_turn,
                                         .expires = time.now() + life},
                                        [this, request](reservation_outcome it) { outcomes[request] = it; });
     }
@@ -103,7 +103,7 @@
     const auto read = decode_spending(encode(row));
     REQUIRE(read);
     CHECK(read->committed() == 19);
-    CHECK(read->has({"b"}));
+    CHECK(read->has_reservation({"b"}));
     for (const auto* text :
          {"", "{}", "[1]", R"({"spent":"x","reserved":{}})", R"({"spent":1,"reserved":{"a":"b"}})"})
     {
@@ -253,7 +253,7 @@
             if (draw(40) == 0)
             {
                 // The process is lost with all that it knew; what it had under way stays behind in the clock.
-                static std::vector<std::unique_ptr<spender>> lost_gateways;
+                static std::vector<std::unique_ptr<gateway_member>> lost_gateways;
                 lost_gateways.push_back(std::exchange(world.gateways[at], world.make(at, 3)));
             }
             const auto name = std::to_string(next++);
