--- a/include/masticcourse/gateway/bucket_ownership.hpp
+++ b/include/masticcourse/gateway/bucket_ownership.hpp
@@ -1,15 +1,15 @@
 /// @file
-/// Who holds what one gateway alone may give out: one row of the store names, for each of a fixed number of
-/// buckets, the life of the gateway that holds it.
+/// Exclusive ownership of a fixed number of buckets, for grants that only one gateway may make at a time. One
+/// row in the store names the gateway incarnation that holds each bucket.
 ///
-/// - A bucket is taken and given up under the row's version only, so no two lives hold one at a time, however
-///   long one of them slept or was cut off.
-/// - Where a bucket may change hands without its holder, it is held under a lease: the holder renews it in
-///   the row and stops by itself when it could not; others take it once they have seen no renewal for
-///   longer. Each side looks at its own clock only.
+/// - Buckets are taken and released by compare-and-set on the row version only, so no two incarnations hold a
+///   bucket at a time, however long one of them was suspended or partitioned.
+/// - Where a bucket may be taken over without its holder's consent, it is held under a lease. The holder
+///   renews the lease in the row, and stops using the bucket if the lease expires; others take the bucket
+///   over after a longer time without an observed renewal. Each side uses its own clock only.
 /// - VMs with little processor time take no buckets while there are others.
-/// - Looks and tries are spread over a time that grows with the number of gateways: otherwise hundreds that
-///   start together would keep the row, and the partition that it lies in, full of conflicts.
+/// - Reads and writes are spread over an interval that grows with the number of gateways. Otherwise hundreds
+///   of gateways that start together would overload the row and its partition with conflicts.
 #pragma once
 
 #include "masticcourse/gateway/commit_queue.hpp"
@@ -28,119 +28,124 @@
 namespace masticcourse::gateway
 {
 
-/// One life of a gateway.
+/// One run of a gateway process.
 struct gateway_incarnation
 {
-    /// Where peers reach it; the same for all lives on one VM.
+    /// Address for peers; the same for all incarnations on one VM.
     std::string address;
-    /// New at each start.
+    /// Unique for each start of the process.
     std::string incarnation;
 
     friend bool operator==(const gateway_incarnation&, const gateway_incarnation&) = default;
 };
 
-/// The buckets; nothing in one that is free.
+/// The holder of each bucket; empty for a free bucket.
 using bucket_table = std::vector<std::optional<gateway_incarnation>>;
 
 struct ownership_row
 {
     bucket_table buckets;
-    /// How often each life has renewed its lease.
+    /// Number of lease renewals by incarnation.
     std::map<std::string, std::uint64_t> renewals;
 
     friend bool operator==(const ownership_row&, const ownership_row&) = default;
 };
 
 [[nodiscard]] std::string encode_ownership(const ownership_row& row);
-/// @return nothing if @a text is no such row with @a buckets buckets
+/// @return empty if @a text is not a valid ownership row with @a buckets buckets
 [[nodiscard]] std::optional<ownership_row> decode_ownership(const std::string& text, std::size_t buckets);
 
-/// How a bucket passes on from a holder that does not give it up.
+/// Conditions under which a bucket is taken over from a holder that has not released it.
 struct lease_terms
 {
-    /// The holder stops so long after it asked for its last renewal that was written.
+    /// The holder stops using the bucket this long after it sent its last successful renewal.
     seconds duration{20};
-    /// Others take the bucket when they have seen no renewal for so long.
+    /// Other gateways take the bucket over after this long without an observed renewal.
     seconds takeover_timeout{30};
 };
 
 struct ownership_terms
 {
-    /// Where the row lies.
+    /// The table that contains the row.
     std::string table;
     std::size_t buckets = 0;
-    /// How long a life runs until it may take the buckets of earlier ones on its VM.
+    /// How long an incarnation must run before it may take the buckets of earlier ones on its VM.
     seconds inheritance_delay{};
-    /// Without one, a bucket stays its holder's until a later life on the VM inherits it.
+    /// Without a lease, a bucket belongs to its holder until a later incarnation on the same VM inherits it.
     std::optional<lease_terms> lease;
 };
 
 class bucket_ownership
 {
   public:
-    /// @param awake_clock also runs while the VM is suspended; the holder's side of a lease
+    /// @param boottime_clock clock that also advances while the VM is suspended; used for the holder's side
+    /// of a lease
     bucket_ownership(ownership_terms terms, row_store& store, const peer_directory& peers,
                      gateway_incarnation self, delay_function delay, clock_function clock,
                      clock_function boottime_clock);
 
-    /// Takes a share of the buckets from now on. Later calls change nothing.
+    /// Starts to take a share of the buckets. Further calls have no effect.
     void start();
 
-    /// Takes no more buckets, and gives up those held as soon as the store is there and @a idle says that
-    /// nothing is open for a bucket. While the store is away they are used on: nobody else could take them.
+    /// Stops taking buckets, and releases each bucket held once the store is reachable and
+    /// @a is_bucket_idle reports that nothing is outstanding for it. While the store is unreachable, the
+    /// buckets stay in use, since no other gateway could take them.
     void leave(std::function<bool(std::size_t)> is_bucket_idle);
 
     [[nodiscard]] const gateway_incarnation& self() const
     {
         return m_self;
     }
-    /// @return whether the bucket is this life's
+    /// @return whether the row names this incarnation as the holder
     [[nodiscard]] bool owns(std::size_t bucket) const;
-    /// @return whether this life holds the bucket and may use it: it has not begun to give it up, and its
-    /// lease is valid
+    /// @return whether this incarnation owns the bucket and may use it: it has not started to release it, and
+    /// its lease is valid
     [[nodiscard]] bool holds(std::size_t bucket) const;
-    /// @return when this life took a bucket that is its own: what it knew of it from an earlier time is void
+    /// @return when this incarnation took a bucket that it owns; state from an earlier ownership is invalid
     [[nodiscard]] time_point held_since(std::size_t bucket) const
     {
         return m_held_since[bucket].value();
     }
-    /// @return where the holder of a bucket is reached, as far as it is known
+    /// @return the address of the bucket's holder, if known
     [[nodiscard]] std::optional<std::string> holder_of(std::size_t bucket) const;
-    /// Whether this life is leaving and has given up all that it can.
+    /// Whether this incarnation is leaving and has released all buckets that it can.
     [[nodiscard]] bool release_finished() const;
 
   private:
-    /// What was last seen of a life's renewals, and since when.
+    /// The last observed renewal count of an incarnation, and when it was first observed.
     struct observed_renewal
     {
         std::uint64_t count = 0;
         time_point since;
     };
 
+    /// Reads the row and writes the changes that this incarnation wants.
     void reconcile();
-    /// Plans the next step, in place of one planned before.
+    /// Schedules the next call of `reconcile`, replacing any call scheduled before.
     void schedule_reconcile(milliseconds delay);
     void apply_row(const std::optional<stored_row>& row);
-    /// Keeps account of which buckets this life has taken.
+    /// Updates since when each bucket is owned.
     void update_held_since();
-    /// Keeps account of when each holder was last seen to renew its lease.
+    /// Records when the renewal count of each holder last changed.
     void update_observed_renewals();
-    /// @return the row as this life would have it, or nothing if that is how it is
+    /// @return the row to write, or empty if the row needs no change
     [[nodiscard]] std::optional<ownership_row> desired_row() const;
     [[nodiscard]] ownership_row row_without_idle_buckets() const;
     [[nodiscard]] ownership_row row_with_fair_share() const;
-    /// Counts this life's renewal, and forgets those of lives that hold nothing.
+    /// Counts a renewal by this incarnation, and removes the counts of incarnations that hold no buckets.
     void add_renewal(ownership_row& next) const;
     [[nodiscard]] bool renewal_due() const;
     [[nodiscard]] std::size_t fair_share() const;
-    /// @return how long one turn of all gateways at the row takes, @a least on a small site
+    /// @return the interval in which each gateway accesses the row once: proportional to the number of
+    /// gateways, but at least @a min_interval
     [[nodiscard]] milliseconds scaled_interval(milliseconds min_interval) const;
     [[nodiscard]] milliseconds random_delay(milliseconds min_delay, milliseconds max_delay);
-    /// Plans the next look at the row.
+    /// Schedules the next regular read of the row.
     void schedule_poll();
-    /// Plans another try at the row.
+    /// Schedules a retry after a failed write.
     void schedule_retry();
-    /// Whether an earlier life on this VM left the bucket, long enough ago.
+    /// Whether @a holder is an earlier incarnation on this VM, and this one has run for the inheritance
+    /// delay.
     [[nodiscard]] bool inherits(const gateway_incarnation& holder) const;
     [[nodiscard]] bool can_take(const std::optional<gateway_incarnation>& holder) const;
     void write(const ownership_row& next);
@@ -158,17 +163,16 @@
     ownership_row m_row;
     row_version m_version = 0;
     row_fault_log m_faults;
-    /// Empty for buckets that are not this life's.
+    /// Empty for buckets that this incarnation does not own.
     std::vector<std::optional<time_point>> m_held_since;
     std::map<std::string, observed_renewal> m_observed_renewals;
-    /// The lease is valid until then.
     time_point m_lease_expiry{};
-    /// Set once this life is leaving.
+    /// Set once this incarnation is leaving.
     std::function<bool(std::size_t)> m_is_bucket_idle;
-    /// Giving up has been asked of the store. It may be done at any time from then on, so no bucket is used
-    /// any more, whatever the answer was.
+    /// A release was sent to the store. It may take effect at any later time, so no bucket is used any more,
+    /// whatever the reply was.
     bool m_release_attempted = false;
-    /// Numbers the steps planned; only the last one is taken.
+    /// Id of the last scheduled call of `reconcile`; earlier ones are ignored.
     std::uint64_t m_reconcile_id = 0;
     std::minstd_rand m_random{std::random_device{}()};
 };
--- a/include/masticcourse/gateway/overdraft.hpp
+++ b/include/masticcourse/gateway/overdraft.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Overdrafts as requests use them: asked of the gateway that may allow them, which may be this one.
+/// Client and server side of overdrafts: a gateway requests them from the holder of the program's bucket,
+/// which may be the gateway itself.
 #pragma once
 
 #include "masticcourse/gateway/bucket_ownership.hpp"
@@ -12,7 +13,7 @@
 namespace masticcourse::gateway
 {
 
-/// What one gateway asks another about the overdraft of a program.
+/// Operation that one gateway requests from another on the overdraft of a program.
 enum class overdraft_operation : std::uint8_t
 {
     draw,
@@ -24,21 +25,21 @@
     overdraft_operation operation = overdraft_operation::draw;
     program_id program;
     request_id request;
-    /// Of `draw`, the most that the turn generates; of `settle`, what of it stays open.
+    /// `draw`: the maximum that the turn generates; `settle`: the tokens that stay outstanding.
     token_count tokens = 0;
 };
 
-/// @name On the wire between gateways
+/// @name Wire format between gateways
 /// @{
 [[nodiscard]] std::string encode(const overdraft_message& message);
-/// @return nothing if @a bytes are no message
+/// @return empty if @a bytes are not a valid message
 [[nodiscard]] std::optional<overdraft_message> decode_overdraft(const std::string& bytes);
-/// The answer: the tokens that may be handed out.
+/// Encodes the reply: the number of tokens that may be delivered.
 [[nodiscard]] std::string encode_grant(token_count granted);
 [[nodiscard]] std::optional<token_count> decode_grant(const std::string& bytes);
 /// @}
 
-/// The tokens that may be handed out; 0 if none, or if the holder did not answer.
+/// Receives the number of tokens that may be delivered; 0 if there are none or the holder did not answer.
 using draw_callback = std::function<void(token_count)>;
 
 [[nodiscard]] ownership_terms overdraft_ownership_terms();
@@ -51,28 +52,29 @@
     {
     }
 
-    /// Asks for an overdraft for a turn. Calls back once, at once if the bucket is held here or by nobody.
+    /// Requests an overdraft for a turn. Calls back once; synchronously if this gateway or no gateway holds
+    /// the bucket.
     void draw(const program_id& program, const request_id& request, token_count max_tokens,
               draw_callback on_grant);
 
-    /// The turn has ended, and @a used tokens of it stay open: no row accounts for them yet, or they lie
-    /// beyond the budget in it.
+    /// Ends the turn. Its @a used_tokens stay outstanding: they are not yet recorded in the program's
+    /// spending row, or exceed the budget there.
     void settle(const program_id& program, const request_id& request, token_count used_tokens);
 
-    /// A row accounts for the turn now.
+    /// Removes the turn: its tokens are now recorded in the program's spending row.
     void clear(const program_id& program, const request_id& request);
 
-    /// Answers a peer.
-    /// @return nothing if the message can't be read
+    /// Handles a message from a peer.
+    /// @return the encoded reply; empty if the message cannot be decoded
     [[nodiscard]] std::optional<std::string> serve(const std::string& bytes);
 
-    /// Whether nothing is open here for the programs of a bucket.
+    /// Whether no overdraft is outstanding here for any program of the bucket.
     [[nodiscard]] bool idle(std::size_t bucket) const
     {
         return m_ledger.empty(bucket);
     }
 
-    /// Forgets programs that are long over.
+    /// Evicts programs without a draw for `max_program_idle_time`.
     void evict_idle()
     {
         m_ledger.evict_idle(m_clock());
--- a/include/masticcourse/gateway/overdraft_ledger.hpp
+++ b/include/masticcourse/gateway/overdraft_ledger.hpp
@@ -1,12 +1,12 @@
 /// @file
-/// What programs have been handed out ahead of their budgets' rows, as the one gateway that may allow it
-/// keeps account of it.
+/// Tokens delivered to programs before their spending rows record them, tracked by the one gateway that holds
+/// the program's bucket.
 ///
-/// Load pattern: an outage of the store of some seconds under full load. A program's budget lies in a row,
-/// and callers are promised that a program gets no more than its budget and the most of one turn. That one
-/// turn may so be handed out with no durable word of it, once, whoever hands it out: on a site where two
-/// thirds of the load need the store for nothing else, programs of three or four turns of a quarter of their
-/// most go through an outage on it instead of failing in it.
+/// Load pattern: a store outage of a few seconds under full load. Callers are guaranteed that a program gets
+/// at most its budget plus the maximum of one turn. So tokens of up to one turn's maximum may be delivered
+/// without a durable record, once per program across all gateways. On a site where two thirds of the load
+/// need the store for nothing else, this carries programs of three or four turns, each using a quarter of its
+/// maximum, through an outage that would otherwise fail them.
 #pragma once
 
 #include "masticcourse/gateway/program_spending.hpp"
@@ -18,41 +18,42 @@
 namespace masticcourse::gateway
 {
 
-/// How many buckets programs fall into: several for each gateway of a small site, so that they share the load
-/// evenly; on larger ones some gateways hold none.
+/// Number of buckets that programs are hashed into. A small site has several per gateway, which balances the
+/// load; on larger sites some gateways hold none.
 inline constexpr std::size_t overdraft_bucket_count = 32;
 
 [[nodiscard]] std::size_t overdraft_bucket_of(std::string_view program);
 
-/// After that long without a turn no program is left: ten times what turns are kept for.
+/// A program without a turn for this long has ended. Ten times the retention of turns.
 inline constexpr seconds max_program_idle_time{600};
 
 class overdraft_ledger
 {
   public:
-    /// Allows a turn to hand out tokens that no row accounts for. All that is open for one program together
-    /// is at most the smallest most of one turn that its turns have stated.
-    /// @param most the most tokens that the turn generates
-    /// @return how many it may hand out; the same again for a repeated question
+    /// Lets a turn deliver tokens that no spending row records yet. The tokens outstanding for a program
+    /// never exceed the smallest @a max_tokens that its turns have stated.
+    /// @param max_tokens upper bound on the tokens that the turn generates
+    /// @return the number of tokens that the turn may deliver; the same number again for a repeated request
     [[nodiscard]] token_count draw(const program_id& program, const request_id& request,
                                    token_count max_tokens, time_point now);
 
-    /// The turn has ended, and @a used tokens of it stay open: no row accounts for them yet, or they lie
-    /// beyond the budget in it.
+    /// Ends the turn. Its @a used_tokens stay outstanding: they are not yet recorded in the program's
+    /// spending row, or exceed the budget there.
     void settle(const program_id& program, const request_id& request, token_count used_tokens);
 
-    /// A row accounts for the turn.
+    /// Removes the turn: its tokens are recorded in the program's spending row.
     void clear(const program_id& program, const request_id& request);
 
-    /// @return whether nothing is open for the programs of a bucket
+    /// @return whether no tokens are outstanding for any program of the bucket
     [[nodiscard]] bool empty(std::size_t bucket) const;
 
-    /// Forgets programs for which nothing was asked for so long that none of then is left.
+    /// Evicts programs without a draw for `max_program_idle_time`.
     void evict_idle(time_point now);
 
   private:
     struct program_account
     {
+        /// The smallest maximum of one turn stated so far.
         token_count limit = 0;
         time_point last_used;
         std::unordered_map<request_id, token_count> outstanding;
--- a/include/masticcourse/gateway/program_spending.hpp
+++ b/include/masticcourse/gateway/program_spending.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What a program's turns have spent and may still spend, over all gateways: one row a program, changed only
-/// under the version that was read. Any gateway may write it; none owns a program.
+/// Token accounting for programs across all gateways. Each program has one row in the store, updated by
+/// compare-and-set on the row version. Any gateway may write the row; programs have no owner.
 #pragma once
 
 #include "masticcourse/core/ids.hpp"
@@ -21,72 +21,74 @@
 {
     /// The reservation is durable.
     granted,
-    /// The budget does not hold one more turn.
+    /// The remaining budget does not cover the turn.
     over_budget,
-    /// The store did not answer in time; whether it is reserved is not known.
+    /// The store did not answer in time; the reservation may or may not have been written.
     unavailable,
 };
 
 using reservation_callback = std::function<void(reservation_outcome)>;
-/// Takes how many tokens of a charge lie beyond the budget.
+/// Receives the number of tokens of the charge that exceed the budget.
 using charge_callback = std::function<void(token_count)>;
 
-/// A turn's claim on its program's budget.
+/// A request to reserve part of a program's budget for one turn.
 struct reservation_request
 {
     program_id program;
     request_id request;
-    /// The most tokens that the turn generates.
+    /// Upper bound on the tokens that the turn generates.
     token_count tokens = 0;
     token_count budget = 0;
-    /// The turn begins a line of its program, so the program is likely new.
+    /// The turn has no previous turn, so the program is probably new.
     bool first_turn = false;
     time_point expires;
 };
 
-/// The programs whose turns pass through this process. Reservations of one program are made one transaction
-/// after the other; each carries along what has ended since.
+/// Tracks the budgets of the programs whose turns pass through this process. Transactions of one program are
+/// serialised; each one also writes the settlements queued since the previous one.
 class program_spending
 {
   public:
     program_spending(row_store& store, commit_sink& commits, delay_function delay, clock_function clock);
 
-    /// Whether a turn may be sent to a target while its reservation is still being written: the budget as
-    /// known here holds it with room to spare, so a refusal is not to be expected.
+    /// Whether a turn may be sent to a target before its reservation is durable: the locally known budget
+    /// covers it with a safety margin, so the reservation is unlikely to be refused.
     [[nodiscard]] bool has_headroom(const reservation_request& request) const;
 
-    /// Whether nothing is known of a program that has had turns elsewhere.
+    /// Whether the row of the program is neither cached here nor being read or written.
     [[nodiscard]] bool is_unknown(const program_id& id) const;
 
-    /// Reads what a program has spent, if any gateway or the store tells; calls back once, whatever came of
-    /// it. So a turn need not wait for its reservation before it is sent, also while the store is away.
+    /// Reads the program's row from a gateway that caches it or from the store. Calls back once, also if the
+    /// read failed. With the row cached, a turn can be sent before its reservation is durable, even while the
+    /// store is unreachable.
     void look_up(const program_id& id, std::function<void()> on_end);
 
-    /// Reserves; calls back once. Refusals rest on a reading of the row made after this call.
+    /// Reserves tokens; calls back once. A refusal is always based on a read of the row made after this call.
     void reserve(reservation_request request, reservation_callback on_result);
 
-    /// A turn with a reservation, granted or not, has handed out @a tokens and hands out no more. A
-    /// reservation that has not been written is withdrawn; it is not called back.
+    /// Replaces the reservation of a finished turn, granted or not, by the @a tokens that it delivered. A
+    /// reservation that has not been written yet is cancelled without calling its callback.
     void settle(const program_id& id, const request_id& request, token_count tokens);
 
-    /// A turn has ended that handed out tokens without a durable reservation: they are charged, also beyond
+    /// Charges the tokens that a finished turn delivered without a durable reservation, even if they exceed
     /// the budget.
-    /// @param turn       the turn's claim, of the tokens that were handed out
-    /// @param on_durable called once that is so, if ever
+    /// @param turn       the request of the turn, with the number of tokens delivered
+    /// @param on_durable called when the charge is durable; never called if the charge fails
     void charge(reservation_request turn, charge_callback on_durable);
 
-    /// Forgets programs that had no turn here for a while; their rows are read anew if they come back.
+    /// Evicts programs without recent turns from the cache; their rows are read again when needed.
     void evict_idle(time_point now);
 
   private:
     struct pending_reservation
     {
         reservation_request request;
-        /// A turn's claim, or the charge for what has been handed out already, which is never refused.
+        /// Holds a `charge_callback` if the entry charges tokens already delivered; charges are never
+        /// refused.
         std::variant<reservation_callback, charge_callback> on_result;
-        /// Whether the row has been read since the claim was made.
+        /// Whether the row has been read from the store since the reservation was requested.
         bool fresh = false;
-        /// Of a charge, what lies beyond the budget.
+        /// For a charge: the tokens that exceed the budget.
         token_count excess_tokens = 0;
     };
     struct settlement
@@ -96,12 +98,12 @@
     };
     struct program_entry
     {
-        /// The row as last read or written; nothing if it is not known.
+        /// The row as last read or written; empty if unknown.
         std::optional<spending_row> row;
         row_version version = 0;
         std::vector<pending_reservation> pending;
         std::vector<settlement> settlements;
-        /// A read or a write is under way.
+        /// A read or a write is in progress.
         bool busy = false;
         bool flush_scheduled = false;
         time_point last_used;
@@ -109,17 +111,18 @@
 
     static void complete(const pending_reservation& it, reservation_outcome outcome);
     void process_pending(const program_id& id);
-    /// @param memory_will_do whether what another gateway remembers is enough: a write under an outdated
-    /// version fails, but a refusal must rest on the row itself
+    /// @param allow_cached whether a copy cached by another gateway is acceptable: a write based on a stale
+    /// version fails, but a refusal must be based on the row in the store
     void read(const program_id& id, bool allow_cached);
     void write(const program_id& id, program_entry& entry);
     void expire_pending(program_entry& entry);
-    /// Adds what fits to @a next.
+    /// Adds the pending reservations that fit the budget to @a next. Refuses the others if the row is fresh
+    /// for them, and keeps them pending otherwise.
     static void admit_pending(program_entry& entry, spending_row& next,
                               std::vector<pending_reservation>& admitted);
     void on_written(const program_id& id, const spending_row& next, std::vector<pending_reservation> admitted,
                     const std::vector<settlement>& settled, const change_result& result);
-    /// @param fresh whether the row was read from the store just now
+    /// @param fresh whether the row was just read from the store, not from a cache
     static void apply_row(program_entry& entry, const std::optional<stored_row>& row, bool fresh);
     void schedule_flush(const program_id& id, program_entry& entry);
 
--- a/include/masticcourse/gateway/spending_row.hpp
+++ b/include/masticcourse/gateway/spending_row.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The row of the store that says what a program has spent and what its turns under way may still spend.
+/// The row in the store with the tokens that a program has spent and those reserved by its running turns.
 #pragma once
 
 #include "masticcourse/core/ids.hpp"
@@ -11,31 +11,31 @@
 namespace masticcourse::gateway
 {
 
-/// The caller's id of one attempt at a request.
+/// Id that the caller assigns to one attempt at a request.
 using request_id = strong_string<struct gateway_request_id_tag>;
 
-/// The most that a turn under way may still hand out.
+/// The maximum number of tokens that a running turn may deliver.
 struct token_reservation
 {
     request_id request;
     token_count tokens = 0;
 };
 
-/// The row of one program.
 struct spending_row
 {
-    /// Of the turns whose end is known.
+    /// Tokens of settled turns.
     token_count spent = 0;
     std::vector<token_reservation> reserved;
 
+    /// @return the tokens spent and reserved
     [[nodiscard]] token_count committed() const;
     [[nodiscard]] bool has_reservation(const request_id& request) const;
-    /// Replaces a reservation, if it is there, by what the turn handed out.
+    /// Replaces a reservation by the tokens that the turn delivered. Does nothing if there is no reservation.
     void settle(const request_id& request, token_count used_tokens);
 };
 
 [[nodiscard]] std::string encode(const spending_row& row);
-/// @return nothing if @a text is no such row
+/// @return empty if @a text is not a valid spending row
 [[nodiscard]] std::optional<spending_row> decode_spending(const std::string& text);
 
 } // namespace masticcourse::gateway
--- a/src/gateway/bucket_ownership.cpp
+++ b/src/gateway/bucket_ownership.cpp
@@ -15,22 +15,22 @@
 
 const std::string ownership_key = "buckets";
 
-/// Until the first look at the row.
+/// Delay before the first read of the row.
 constexpr milliseconds initial_poll_delay{300};
-/// Until the row is written if there is none: gateways that start together are then on each other's list,
-/// which is read every three seconds, and none takes the buckets of all.
+/// Delay before the row is created. The peer list is read every three seconds, so by then gateways that start
+/// together know each other and none takes all buckets.
 constexpr milliseconds initial_write_delay{4'000};
-/// Between two looks at least: a bucket that was given up is taken that much later.
+/// Mean interval between two reads on a small site. A released bucket stays free for up to about this long.
 constexpr milliseconds min_poll_interval{2'000};
-/// Until another try after a conflict or a failure, at most, on a small site.
+/// Maximum delay before a retry after a conflict or a failure on a small site.
 constexpr milliseconds min_backoff{150};
-/// Looks and tries of all gateways fall on one row. Each takes its turn in this much time for every gateway,
-/// so that the row's load is the same however many there are.
+/// All gateways access the same row. Intervals grow by this much per gateway, so that the load on the row is
+/// independent of their number.
 constexpr milliseconds interval_per_gateway{20};
-/// Between two looks whether nothing is open any more, while leaving.
+/// Interval between two checks for releasable buckets while leaving.
 constexpr milliseconds leaving_poll_interval{50};
 
-/// A lease is renewed when half of its time has passed: a renewal that fails is tried again several times.
+/// A lease is renewed after half of its duration, which leaves time to retry a failed renewal several times.
 constexpr int renewals_per_lease = 2;
 
 nlohmann::json to_json(const bucket_table& buckets)
@@ -69,7 +69,7 @@
 std::string encode_ownership(const ownership_row& row)
 {
     auto buckets = to_json(row.buckets);
-    // Rows without leases are a plain list.
+    // Rows without lease renewals are encoded as a plain array.
     return row.renewals.empty() ? buckets.dump()
                                 : nlohmann::json{{"buckets", buckets}, {"renewals", row.renewals}}.dump();
 }
@@ -142,7 +142,7 @@
         return;
     }
     const auto interval = scaled_interval(min_poll_interval);
-    // Gateways that start together should not look together.
+    // Jitter keeps gateways that start together from reading at the same time.
     schedule_reconcile(random_delay(interval * 3 / 4, interval * 5 / 4));
 }
 
@@ -199,7 +199,7 @@
 {
     if (m_is_bucket_idle && !desired_row())
     {
-        // Nothing to give up yet, or any more.
+        // No bucket can be released now, or none is left.
         schedule_reconcile(leaving_poll_interval);
         return;
     }
@@ -229,8 +229,8 @@
     auto read = row ? decode_ownership(row->value, m_terms.buckets) : std::optional{empty};
     if (!read)
     {
-        m_faults.report(row->name, row->version, "no table of buckets");
-        // Nobody holds a bucket of a row that can't be read, and nobody takes one.
+        m_faults.report(row->name, row->version, "not a valid bucket ownership row");
+        // While the row cannot be decoded, no gateway holds a bucket or takes one.
         read = ownership_row{.buckets = bucket_table(m_terms.buckets, gateway_incarnation{})};
     }
     m_row = std::move(*read);
@@ -270,7 +270,7 @@
 
 std::size_t bucket_ownership::fair_share() const
 {
-    // Requests wait for a holder's answer, so it must have the time to give it.
+    // Requests wait for the holder's answer, so only VMs with enough processor time hold buckets.
     const auto helpers = m_peers.helpers();
     return m_peers.is_helper() ? (m_terms.buckets + helpers - 1) / helpers : 0;
 }
@@ -333,7 +333,8 @@
     const auto share = fair_share();
     for (auto& it : next.buckets)
     {
-        // What an earlier life here held is of no use to others: it is taken beyond the share as well.
+        // Other gateways cannot use the buckets of an earlier incarnation on this VM, so these are taken even
+        // beyond the fair share.
         const bool inherited = it && inherits(*it);
         if (inherited || (held < share && can_take(it)))
         {
@@ -386,7 +387,7 @@
 {
     if (reply.outcome != store_outcome::done)
     {
-        // What is not known to be done shows with the next look.
+        // If the write took effect after all, the next read shows it.
         schedule_retry();
         return;
     }
--- a/src/gateway/overdraft.cpp
+++ b/src/gateway/overdraft.cpp
@@ -7,7 +7,8 @@
 
 ownership_terms overdraft_ownership_terms()
 {
-    // What a life that died had open is not known: its buckets stay its own until no program of then is left.
+    // The overdrafts outstanding at a crashed holder are unknown, so its buckets are not taken over until all
+    // programs of that time must have ended.
     return {
         .table = "overdraft", .buckets = overdraft_bucket_count, .inheritance_delay = max_program_idle_time};
 }
--- a/src/gateway/overdraft_ledger.cpp
+++ b/src/gateway/overdraft_ledger.cpp
@@ -10,14 +10,15 @@
 namespace
 {
 
-/// Programs with something open, some hundred bytes each. Beyond it nothing more is allowed.
+/// Maximum number of programs with outstanding tokens, about a hundred bytes each. Further programs get no
+/// overdraft.
 constexpr std::size_t max_programs = 20'000;
 
 } // namespace
 
 std::size_t overdraft_bucket_of(std::string_view program)
 {
-    // Seeded, so that buckets and partitions of the store do not fall together.
+    // The seed makes buckets independent of the store's partitions, which hash the same ids.
     constexpr std::uint64_t seed = 0x0d;
     return XXH3_64bits_withSeed(program.data(), program.size(), seed) % overdraft_bucket_count;
 }
@@ -64,7 +65,7 @@
         clear(program, request);
         return;
     }
-    // More than was allowed is not handed out; what is said beyond it comes of events that were held back.
+    // No more than the grant is delivered. A larger count includes events that were held back.
     entry->second = std::min(entry->second, used_tokens);
 }
 
--- a/src/gateway/program_spending.cpp
+++ b/src/gateway/program_spending.cpp
@@ -17,18 +17,20 @@
 
 const std::string spending_table = "spending";
 
-/// How long a settlement waits for the program's next turn to carry it along, which saves a write. The
-/// platform counts a turn at its most for a second after its end; this leaves time for a slow store.
+/// How long a settlement waits to be written together with the program's next reservation, which saves a
+/// write. The platform counts a turn at its maximum for one second after its end, so this leaves time for a
+/// slow store.
 constexpr milliseconds settlement_flush_delay{300};
-/// Turns of the present size that the budget must still hold besides, for a turn to start before its
-/// reservation is written: a runaway program starts about a dozen at once over several gateways.
+/// A turn may start before its reservation is written if the budget covers this many more turns of the same
+/// size. The margin is for runaway programs, which start about a dozen turns at once across several gateways.
 constexpr token_count headroom_turns = 3;
-/// How long a program without turns is remembered.
+/// Programs without turns for longer than this are evicted.
 constexpr seconds idle_timeout{60};
-/// How long a settlement is tried; given up, its reservation stays counted in full.
+/// How long the write of a settlement is retried. After that, the reservation stays counted in full.
 constexpr seconds settlement_timeout{20};
 
-/// The end of the range that holds @a key alone: ids hold no character below the one appended.
+/// @return the exclusive upper bound of the range that contains only @a key; ids contain no character below
+/// the one appended
 std::string next_key(const std::string& key)
 {
     return key + ' ';
@@ -99,7 +101,7 @@
     entry.last_used = m_clock();
     if (!entry.row && entry.version == 0 && request.first_turn && !entry.busy)
     {
-        // Presumably new: a write under the condition that there is no row saves the read.
+        // Probably a new program: a write conditional on the absence of the row saves the read.
         entry.row.emplace();
     }
     entry.pending.push_back({std::move(request), std::move(on_result)});
@@ -115,7 +117,7 @@
     }
     auto& entry = it->second;
     entry.last_used = m_clock();
-    // A claim that has not been written yet need not be any more.
+    // A reservation that has not been written yet is no longer needed.
     const auto withdrawn = std::erase_if(entry.pending, [&](const pending_reservation& one)
                                          { return one.request.request == request; });
     if (withdrawn == 0)
@@ -132,7 +134,7 @@
     entry.last_used = m_clock();
     std::erase_if(entry.pending,
                   [&](const pending_reservation& one) { return one.request.request == turn.request; });
-    // Should the turn's own claim be under way, what it reserves is settled with it.
+    // If the turn's own reservation is being written, this settles it.
     entry.settlements.push_back({turn.request, turn.tokens});
     turn.expires = m_clock() + settlement_timeout;
     entry.pending.push_back({.request = std::move(turn), .on_result = std::move(on_durable)});
@@ -209,7 +211,7 @@
                           process_pending(id);
                           return;
                       }
-                      // The store is away: asked again after a pause, until the claims' time is over.
+                      // The store is unreachable: retry until the pending reservations expire.
                       read_entry.busy = true;
                       m_delay(milliseconds{50},
                               [this, id]
@@ -223,7 +225,7 @@
 void program_spending::apply_row(program_entry& entry, const std::optional<stored_row>& row, bool fresh)
 {
     entry.version = row ? row->version : 0;
-    // A row that can't be read counts as a program that has spent all: no turn runs on a guess.
+    // A row that cannot be decoded counts as an exhausted budget, so no turn runs on a guess.
     constexpr token_count exhausted_tokens = token_count{1} << 40U;
     entry.row =
         row ? decode_spending(row->value).value_or(spending_row{.spent = exhausted_tokens}) : spending_row{};
@@ -276,11 +278,13 @@
     std::ranges::for_each(settled | std::views::filter(std::not_fn(has_pending)), settle);
     std::vector<pending_reservation> admitted;
     admit_pending(entry, next, admitted);
-    // A turn may have ended while its claim was written in vain: claimed anew, it is settled after that.
+    // A turn may have ended while the write of its reservation failed. The reservation is then admitted again
+    // above and settled here.
     std::ranges::for_each(settled, settle);
     if (admitted.empty() && settled.empty())
     {
-        // All that is left would be refused, on what was known before they came: read the row first.
+        // All remaining reservations would be refused based on a row that was read before they were
+        // requested: read the row first.
         entry.busy = false;
         if (!entry.pending.empty())
         {
@@ -290,7 +294,7 @@
     }
     if (settled.empty() && next.reserved.size() == entry.row->reserved.size())
     {
-        // All of it stands in the row already: the answers to earlier writes were lost.
+        // The row already contains all reservations: the replies to earlier writes were lost.
         entry.busy = false;
         std::ranges::for_each(admitted, [](const pending_reservation& it)
                               { complete(it, reservation_outcome::granted); });
@@ -326,7 +330,7 @@
         process_pending(id);
         return;
     }
-    // Not known to be done: what was claimed is claimed again.
+    // The write failed or its outcome is unknown: try the reservations again.
     entry.pending.insert(entry.pending.begin(), std::make_move_iterator(admitted.begin()),
                          std::make_move_iterator(admitted.end()));
     if (result.outcome == store_outcome::conflict)
@@ -336,7 +340,8 @@
     }
     else
     {
-        // What was settled has been tried for its whole life; what has ended since is still to be settled.
+        // The settlements of this write were retried until they expired and are dropped. Those queued since
+        // then are kept.
         entry.row.reset();
     }
     process_pending(id);
--- a/tests/unit/test_gateway_overdraft.cpp
+++ b/tests/unit/test_gateway_overdraft.cpp
@@ -1,5 +1,5 @@
-// Tokens handed out before a row accounts for them: never more for a program than the most of one turn,
-// whichever gateways its turns pass through, and whatever is lost or started again meanwhile.
+// Tokens delivered before a spending row records them never exceed the maximum of one turn per program, on
+// any combination of gateways, lost messages and restarts.
 #include "support/forwarding_world.hpp"
 #include "support/memory_rows.hpp"
 #include "support/virtual_time.hpp"
@@ -28,7 +28,7 @@
 namespace
 {
 
-/// Gateways of one site that reach each other, each with its own way to the store.
+/// Gateways of one site that can call each other, each with its own connection to the store.
 class gateway_group
 {
   public:
@@ -71,7 +71,7 @@
         return n;
     }
 
-    /// Starts a life on a VM; one that ran there is dead from then on.
+    /// Starts a new incarnation on a VM, stopping the one that runs there.
     member& start(const std::string& address)
     {
         stop(address);
@@ -80,7 +80,8 @@
         return *members[address];
     }
 
-    /// Ends the life on a VM, if there is one. Its timers are still planned: it stays, unreachable.
+    /// Stops the incarnation on a VM, if there is one. The object stays alive, since timers still refer to
+    /// it.
     void stop(const std::string& address)
     {
         if (const auto it = members.find(address); it != members.end())
@@ -138,7 +139,7 @@
 
 } // namespace
 
-TEST_CASE("what is open for a program together is at most the least most of one turn")
+TEST_CASE("the tokens outstanding for a program never exceed the smallest maximum of its turns")
 {
     constexpr time_point now{1'000s};
     overdraft_ledger ledger;
@@ -149,7 +150,7 @@
     ledger.settle({"p"}, {"a"}, 30);
     CHECK(ledger.draw({"p"}, {"b"}, 100, now) == 70);
     ledger.settle({"p"}, {"b"}, 0);
-    // A turn of a smaller most bounds all turns of the program.
+    // The smallest maximum of any turn bounds all turns of the program.
     CHECK(ledger.draw({"p"}, {"d"}, 50, now) == 20);
     CHECK(ledger.draw({"p"}, {"e"}, 100, now) == 0);
     ledger.clear({"p"}, {"a"});
@@ -158,14 +159,14 @@
     ledger.clear({"p"}, {"e"});
     ledger.clear({"q"}, {"c"});
     CHECK(ledger.empty(overdraft_bucket_of("p")));
-    // What ends twice, or was never drawn, changes nothing.
+    // Ending a turn twice, or one that never drew, has no effect.
     ledger.settle({"p"}, {"a"}, 30);
     ledger.clear({"p"}, {"a"});
     CHECK(ledger.empty(overdraft_bucket_of("p")));
     CHECK(ledger.draw({"p"}, {"a"}, 0, now) == 0);
 }
 
-TEST_CASE("the row of buckets there and back, and nothing that is none")
+TEST_CASE("ownership rows and overdraft messages round-trip, and malformed ones are rejected")
 {
     ownership_row row{.buckets = bucket_table(overdraft_bucket_count)};
     row.buckets[3] = gateway_incarnation{"10.0.0.1:7380", "17"};
@@ -193,7 +194,7 @@
     }
 }
 
-TEST_CASE("buckets are shared out among the gateways, each held by one")
+TEST_CASE("buckets are distributed evenly among the gateways, each held by exactly one")
 {
     for (const std::size_t count : {1U, 7U, 34U})
     {
@@ -212,9 +213,8 @@
     }
 }
 
-// Load pattern: all gateways of a site start together, and all want a share of the one row.
-TEST_CASE(
-    "the calls to the row of buckets stay below what a partition takes, however many gateways there are")
+// Load pattern: all gateways of a site start together and all take their share from the one row.
+TEST_CASE("the calls to the row of buckets stay below a partition's rate limit for any number of gateways")
 {
     for (const std::size_t count : {10U, 100U, 400U})
     {
@@ -225,7 +225,7 @@
         {
             group.time.run(1s);
             const auto calls = group.calls();
-            // Each starts with a look; later ones are spread.
+            // In the first second every gateway reads the row; later accesses are spread out.
             constexpr std::size_t partition_rate = 150;
             CHECK((second == 0 || calls - before < partition_rate));
             before = calls;
@@ -237,7 +237,7 @@
     }
 }
 
-TEST_CASE("any gateway gets a program's overdraft from its holder, once for all of them, without the store")
+TEST_CASE("any gateway gets a program's overdraft from its holder without the store, once for all gateways")
 {
     gateway_group group(7);
     std::ranges::for_each(group.members, [](auto& it) { it.second->store.mode = store_mode::unresponsive; });
@@ -247,7 +247,7 @@
     CHECK(group.draw("g2", "p", "b") == 75);
     group.members.at("g2")->overdrafts.clear({"p"}, {"b"});
     CHECK(group.draw("g3", "p", "c") == 75);
-    SUBCASE("a holder that does not answer allows nothing")
+    SUBCASE("no overdraft is granted if the holder does not answer")
     {
         const auto holder = group.holders(overdraft_bucket_of("q")).front();
         group.unreachable.insert(holder);
@@ -256,7 +256,7 @@
     }
 }
 
-TEST_CASE("a life that died holding a bucket leaves it to nobody, until no program of then can be left")
+TEST_CASE("a bucket of a crashed holder stays unusable until all programs of that time have ended")
 {
     gateway_group group(3);
     const auto bucket = overdraft_bucket_of("p");
@@ -273,7 +273,7 @@
     CHECK(group.holders(bucket) == std::vector{holder});
 }
 
-TEST_CASE("a gateway that leaves gives its buckets up once nothing is open, and others take them")
+TEST_CASE("a leaving gateway releases its buckets once nothing is outstanding, and others take them")
 {
     gateway_group group(3);
     const auto bucket = overdraft_bucket_of("p");
@@ -295,7 +295,7 @@
     CHECK(group.draw(group.holders(bucket).front(), "p", "d") == 100);
 }
 
-TEST_CASE("nobody holds a bucket of a row that can't be read, and nobody overwrites it")
+TEST_CASE("an ownership row that cannot be decoded gives nobody a bucket and is not overwritten")
 {
     gateway_group group(1);
     const auto broken = group.rows.apply({.puts = {{{"overdraft", "buckets"}, "another writer's"}}});
@@ -304,10 +304,11 @@
     CHECK(group.rows.read({.table = "overdraft"}).rows.front().version == broken.version);
 }
 
-TEST_CASE("under random draws, losses, cuts, restarts and outages no program gets more than one turn ahead")
+TEST_CASE(
+    "with random draws, losses, partitions, restarts and outages no program exceeds one turn of overdraft")
 {
-    // All that was ever allowed and is not accounted for by a row, as the callers' side counts it: tokens of
-    // turns that were cut off with their gateway stay in the sum for ever.
+    // The sum counts all tokens granted and not recorded in a row, as seen by the callers. Tokens of turns
+    // that were lost with their gateway stay in it.
     CHECK(rc::check(
         [](const std::vector<std::array<std::uint8_t, 4>>& steps)
         {
@@ -333,7 +334,7 @@
                 case 2:
                     if (!its.empty())
                     {
-                        // A turn ends with a part of what it was allowed.
+                        // A turn ends after delivering a part of its grant.
                         auto& [request, tokens] = *std::next(its.begin(), how % static_cast<int>(its.size()));
                         tokens = tokens * (how % 4) / 4;
                         group.members.at(at)->overdrafts.settle({program}, {request}, tokens);
@@ -369,7 +370,7 @@
         }));
 }
 
-TEST_CASE("while the store is away a stream whose turns are not kept goes through on its program's overdraft")
+TEST_CASE("while the store is unreachable a stream whose turns are not kept uses its program's overdraft")
 {
     forwarding_fixture world;
     world.buckets.start();
@@ -384,9 +385,9 @@
     world.last()->event(2, "x");
     world.last()->end(200);
     CHECK(view->ended);
-    SUBCASE("its tokens leave less for the next turn, which holds back what goes beyond")
+    SUBCASE("the next turn gets the remaining overdraft and holds back the events beyond it")
     {
-        // 80 of 100 are left: eight events of ten tokens.
+        // 80 of 100 tokens are left: eight events of ten tokens.
         const auto next = world.send(world.make_budgeted_request("plan", "b", 250));
         REQUIRE(world.sent.size() == 2);
         world.last()->begin(200);
@@ -404,7 +405,7 @@
         world.time.run(1s);
         CHECK(next->ended);
         CHECK(world.overdrafts.idle(overdraft_bucket_of("p")));
-        // 20 + 90 of 250 tokens are charged: one more turn of 100 fits, not two.
+        // 20 + 90 of 250 tokens are charged, so one more turn of 100 fits, but not two.
         std::ignore = world.send(world.make_budgeted_request("plan", "c", 250));
         world.time.run(200ms);
         CHECK(world.sent.size() == 3);
@@ -412,7 +413,7 @@
         world.time.run(200ms);
         CHECK(body_of(*over) == "over_budget");
     }
-    SUBCASE("a program that has had most of it is refused at once, with a time to come back")
+    SUBCASE("a program with too little overdraft left is refused at once, with a retry-after time")
     {
         std::ignore = world.overdrafts.serve(encode({overdraft_operation::draw, {"p"}, {"other"}, 100}));
         const auto sent = world.sent.size();
@@ -421,7 +422,7 @@
         CHECK(find_header(next->response->headers, "retry-after"));
         CHECK(world.sent.size() == sent);
     }
-    SUBCASE("turns that are kept wait for the store as ever")
+    SUBCASE("turns that are kept wait for the store")
     {
         const auto kept = world.send(world.make_turn_request("t"));
         world.last()->begin(200);
@@ -430,7 +431,7 @@
     }
 }
 
-TEST_CASE("a store that is merely slow to answer is not waited for either")
+TEST_CASE("a stream does not wait for a store that is slow to answer")
 {
     forwarding_fixture world;
     world.buckets.start();
@@ -444,8 +445,8 @@
     CHECK(view->text == "id: 1\ndata: x\n\n");
 }
 
-TEST_CASE("what was handed out ahead is charged once the store is back, also beyond the budget, and is open "
-          "no more")
+TEST_CASE("delivered overdraft is charged once the store is back, also beyond the budget, and is no longer "
+          "outstanding")
 {
     forwarding_fixture world;
     world.buckets.start();
@@ -465,7 +466,7 @@
         }
         return body_of(*view);
     };
-    // 30 of 110 are spent: the budget holds no further turn of 100, as the row says.
+    // The row records 30 of 110 tokens as spent, so the budget does not cover another turn of 100.
     CHECK(play("a") == "(no answer)");
     world.time.run(1s);
     world.store.reported_reachable = false;
@@ -485,7 +486,7 @@
 }
 
 TEST_CASE(
-    "a gateway that leaves goes on allowing overdrafts while the store is away, and stops for good then")
+    "a leaving gateway grants overdrafts while the store is unreachable, and stops once the store is back")
 {
     gateway_group group(2);
     const auto bucket = overdraft_bucket_of("p");
@@ -498,7 +499,7 @@
     CHECK(group.draw(holder, "p", "a") == 100);
     leaving.overdrafts.clear({"p"}, {"a"});
     leaving.store.reported_reachable = true;
-    // Whether giving up was done is not known: it may be done later.
+    // The reply to the release is lost, so the release may still take effect later.
     leaving.store.mode = store_mode::answers_lost;
     group.time.run(1s);
     leaving.store.reported_reachable = false;
@@ -506,11 +507,10 @@
     CHECK(group.draw(holder, "p", "b") == 0);
 }
 
-TEST_CASE(
-    "what was charged beyond the budget is the program's overdraft for good, through any number of outages")
+TEST_CASE("what was charged beyond the budget stays the program's overdraft through any number of outages")
 {
-    // Found by a day with two outages and a slow store: a program got 1,287 tokens on a budget of 858, with
-    // 286 for one turn.
+    // With two outages and a slow store, a program got 1,287 tokens on a budget of 858 with a maximum of 286
+    // per turn.
     forwarding_fixture world;
     world.buckets.start();
     world.time.run(5s);
--- a/tests/unit/test_gateway_spending.cpp
+++ b/tests/unit/test_gateway_spending.cpp
@@ -1,4 +1,4 @@
-// Budgets over several gateways that share nothing but the store.
+// Budgets enforced by several gateways that share only the store.
 #include "masticcourse/gateway/commit_router.hpp"
 #include "masticcourse/gateway/program_spending.hpp"
 
@@ -22,7 +22,7 @@
 namespace
 {
 
-/// Sends a message to the gateway of that address.
+/// Sends a message to the gateway with the given address.
 using member_call = std::function<void(const std::string&, const std::string&, const collector_callback&)>;
 
 struct gateway_member
@@ -49,7 +49,7 @@
     std::map<std::string, reservation_outcome> outcomes;
     bool collects = false;
 
-    /// @param collecting whether commits go through collectors
+    /// @param collecting whether commits are sent through collectors
     explicit spending_world(std::size_t count, bool collecting = false) : collects(collecting)
     {
         for (std::size_t n = 0; n < count; ++n)
@@ -97,7 +97,7 @@
 
 } // namespace
 
-TEST_CASE("rows are read as they were written, and what is none is refused")
+TEST_CASE("spending rows round-trip, and malformed ones are rejected")
 {
     const spending_row row{.spent = 12, .reserved = {{{"a"}, 3}, {{"b"}, 4}}};
     const auto read = decode_spending(encode(row));
@@ -111,7 +111,7 @@
     }
 }
 
-TEST_CASE("a turn is refused only when the budget does not hold it")
+TEST_CASE("a turn is refused only if the budget does not cover it")
 {
     spending_world world{1};
     world.reserve(0, "a", 60, 100, true);
@@ -126,7 +126,7 @@
     CHECK(world.has("c", reservation_outcome::granted));
 }
 
-TEST_CASE("a refusal rests on the row as it is, not as it was once known")
+TEST_CASE("a refusal rests on the current row, not on a cached one")
 {
     spending_world world{2};
     world.reserve(0, "a", 60, 100, true);
@@ -134,7 +134,7 @@
     world.reserve(1, "b", 60, 100);
     world.time.run(100ms);
     CHECK(world.has("b", reservation_outcome::over_budget));
-    // The first gateway settles; the second still remembers the full reservation.
+    // The first gateway settles; the second still caches the full reservation.
     world.gateways[0]->spending.settle({"p"}, {"a"}, 5);
     world.time.run(1s);
     world.reserve(1, "c", 60, 100);
@@ -142,20 +142,20 @@
     CHECK(world.has("c", reservation_outcome::granted));
 }
 
-TEST_CASE("a turn's end is settled soon, also if no further turn follows")
+TEST_CASE("a finished turn is settled soon, even if no other turn follows")
 {
     spending_world world{2};
     world.reserve(0, "a", 60, 100, true);
     world.time.run(100ms);
     world.gateways[0]->spending.settle({"p"}, {"a"}, 5);
-    // Within the second in which the platform counts it in full anyway.
+    // Within the second in which the platform still counts the turn at its maximum.
     world.time.run(900ms);
     world.reserve(1, "b", 90, 100);
     world.time.run(100ms);
     CHECK(world.has("b", reservation_outcome::granted));
 }
 
-TEST_CASE("a reservation whose answer was lost is granted once, and counted once")
+TEST_CASE("a reservation whose reply was lost is granted and counted once")
 {
     spending_world world{1};
     world.gateways[0]->store.mode = store_mode::answers_lost;
@@ -169,9 +169,9 @@
     CHECK(world.has("b", reservation_outcome::granted));
 }
 
-// Load pattern: several turns of a program at once through an outage. Tokens that a lost settlement leaves
-// reserved are spent for nobody: the program's later turns are refused though its budget holds them.
-TEST_CASE("a turn that ends while another one's claim is written in vain is settled once the store is back")
+// Load pattern: several concurrent turns of a program during an outage. A lost settlement leaves its tokens
+// reserved, so later turns of the program are refused although its budget covers them.
+TEST_CASE("a turn that ends while another reservation fails to be written is settled once the store is back")
 {
     spending_world world{1};
     world.reserve(0, "a", 60, 100, true);
@@ -189,7 +189,7 @@
     CHECK(world.has("c", reservation_outcome::granted));
 }
 
-TEST_CASE("while the store is away nothing is granted, and claims end with their time")
+TEST_CASE("while the store is unreachable nothing is granted, and reservations expire")
 {
     spending_world world{1};
     world.gateways[0]->store.mode = store_mode::unresponsive;
@@ -200,7 +200,7 @@
     CHECK(world.has("a", reservation_outcome::unavailable));
 }
 
-TEST_CASE("a claim given up before it was written leaves nothing behind")
+TEST_CASE("a reservation cancelled before it was written leaves nothing behind")
 {
     spending_world world{1};
     world.reserve(0, "a", 60, 100, true);
@@ -213,7 +213,7 @@
     CHECK(world.has("c", reservation_outcome::granted));
 }
 
-TEST_CASE("a row that can't be read grants nothing")
+TEST_CASE("a row that cannot be decoded grants nothing")
 {
     spending_world world{1};
     world.reserve(0, "a", 1, 100, true);
@@ -229,10 +229,10 @@
     CHECK(world.has("b", reservation_outcome::over_budget));
 }
 
-// Load pattern: a runaway program starts a dozen sub-agents at once over several gateways while the store
-// loses answers, refuses and falls silent, and gateways die with turns under way. What was granted and not
-// settled must never add up to more than the budget.
-TEST_CASE("over all gateways, with every fault, no more is granted than the budget holds")
+// Load pattern: a runaway program starts a dozen sub-agents at once on several gateways, while the store
+// loses replies, refuses calls or does not answer, and gateways crash with running turns. The tokens granted
+// and not settled must never exceed the budget.
+TEST_CASE("all gateways together never grant more than the budget, under any fault")
 {
     constexpr token_count budget = 900;
     constexpr token_count most = 280;
@@ -252,7 +252,8 @@
             world.gateways[at]->store.mode = modes.at(draw(modes.size()));
             if (draw(40) == 0)
             {
-                // The process is lost with all that it knew; what it had under way stays behind in the clock.
+                // The process loses its state. The object stays alive, since pending timers still refer to
+                // it.
                 static std::vector<std::unique_ptr<gateway_member>> lost_gateways;
                 lost_gateways.push_back(std::exchange(world.gateways[at], world.make(at, 3)));
             }
