--- a/tests/unit/test_gateway_overdraft.cpp
+++ b/tests/unit/test_gateway_overdraft.cpp
@@ -101,10 +101,11 @@
     }
 
     token_count draw(const std::string& at, const std::string& program, const std::string& request,
-                     token_count most = 100)
+                     token_count max_tokens = 100)
     {
         token_count granted = -1;
-        members.at(at)->overdrafts.draw({program}, {request}, most, [&](token_count it) { granted = it; });
+        members.at(at)->overdrafts.draw({program}, {request}, max_tokens,
+                                        [&](token_count it) { granted = it; });
         return granted;
     }
 
@@ -207,9 +208,9 @@
             REQUIRE(holders.size() == 1);
             ++held[holders.front()];
         }
-        const auto most =
+        const auto max_held =
             std::ranges::max_element(held, {}, [](const auto& it) { return it.second; })->second;
-        CHECK(most <= (overdraft_bucket_count + count - 1) / count);
+        CHECK(max_held <= (overdraft_bucket_count + count - 1) / count);
     }
 }
 
@@ -312,56 +313,59 @@
     CHECK(rc::check(
         [](const std::vector<std::array<std::uint8_t, 4>>& steps)
         {
-            constexpr token_count most = 100;
+            constexpr token_count max_tokens = 100;
             gateway_group group(3);
-            std::map<std::string, std::map<std::string, token_count>> handed;
-            int requests = 0;
-            for (const auto& [what, who, which, how] : steps)
+            std::map<std::string, std::map<std::string, token_count>> unrecorded;
+            int request_count = 0;
+            for (const auto& [action, gateway_index, program_index, variant] : steps)
             {
-                const auto at = "g" + std::to_string(who % 3);
-                const auto program = "p" + std::to_string(which % 2);
-                auto& its = handed[program];
-                switch (what % 6)
+                const auto at = "g" + std::to_string(gateway_index % 3);
+                const auto program = "p" + std::to_string(program_index % 2);
+                auto& program_tokens = unrecorded[program];
+                switch (action % 6)
                 {
                 case 0:
                 case 1:
                 {
-                    const auto request = "r" + std::to_string(++requests);
-                    const auto granted = std::max(token_count{0}, group.draw(at, program, request, most));
-                    its[request] = granted;
+                    const auto request = "r" + std::to_string(++request_count);
+                    const auto granted =
+                        std::max(token_count{0}, group.draw(at, program, request, max_tokens));
+                    program_tokens[request] = granted;
                     break;
                 }
                 case 2:
-                    if (!its.empty())
+                    if (!program_tokens.empty())
                     {
                         // A turn ends after delivering a part of its grant.
-                        auto& [request, tokens] = *std::next(its.begin(), how % static_cast<int>(its.size()));
-                        tokens = tokens * (how % 4) / 4;
+                        auto& [request, tokens] = *std::next(
+                            program_tokens.begin(), variant % static_cast<int>(program_tokens.size()));
+                        tokens = tokens * (variant % 4) / 4;
                         group.members.at(at)->overdrafts.settle({program}, {request}, tokens);
                     }
                     break;
                 case 3:
-                    if (!its.empty())
+                    if (!program_tokens.empty())
                     {
-                        const auto it = std::next(its.begin(), how % static_cast<int>(its.size()));
+                        const auto it = std::next(program_tokens.begin(),
+                                                  variant % static_cast<int>(program_tokens.size()));
                         group.members.at(at)->overdrafts.clear({program}, {it->first});
-                        its.erase(it);
+                        program_tokens.erase(it);
                     }
                     break;
                 case 4:
-                    how % 2 == 0 ? static_cast<void>(group.unreachable.insert(at))
-                                 : static_cast<void>(group.unreachable.erase(at));
+                    variant % 2 == 0 ? static_cast<void>(group.unreachable.insert(at))
+                                     : static_cast<void>(group.unreachable.erase(at));
                     group.members.at(at)->store.mode =
-                        how % 3 == 0 ? store_mode::unresponsive : store_mode::available;
+                        variant % 3 == 0 ? store_mode::unresponsive : store_mode::available;
                     break;
                 default:
-                    how % 3 == 0 ? static_cast<void>(group.start(at))
-                                 : group.time.run(std::chrono::seconds{how % 8});
+                    variant % 3 == 0 ? static_cast<void>(group.start(at))
+                                     : group.time.run(std::chrono::seconds{variant % 8});
                     break;
                 }
-                const auto sum = std::accumulate(its.begin(), its.end(), token_count{0},
+                const auto sum = std::accumulate(program_tokens.begin(), program_tokens.end(), token_count{0},
                                                  [](token_count n, const auto& it) { return n + it.second; });
-                RC_ASSERT(sum <= most);
+                RC_ASSERT(sum <= max_tokens);
                 for (std::size_t bucket = 0; bucket < overdraft_bucket_count; ++bucket)
                 {
                     RC_ASSERT(group.holders(bucket).size() <= 1);
@@ -451,7 +455,7 @@
     forwarding_fixture world;
     world.buckets.start();
     world.time.run(5s);
-    const auto play = [&world](const std::string& id)
+    const auto run_turn = [&world](const std::string& id)
     {
         const auto view = world.send(world.make_budgeted_request("plan", id, 110));
         world.time.run(200ms);
@@ -467,17 +471,17 @@
         return body_of(*view);
     };
     // The row records 30 of 110 tokens as spent, so the budget does not cover another turn of 100.
-    CHECK(play("a") == "(no answer)");
+    CHECK(run_turn("a") == "(no answer)");
     world.time.run(1s);
     world.store.reported_reachable = false;
     world.store.mode = store_mode::refusing;
-    CHECK(play("b") == "(no answer)");
+    CHECK(run_turn("b") == "(no answer)");
     CHECK_FALSE(world.overdrafts.idle(overdraft_bucket_of("p")));
     world.store.reported_reachable = true;
     world.store.mode = store_mode::available;
     world.time.run(2s);
     CHECK(world.overdrafts.idle(overdraft_bucket_of("p")));
-    CHECK(play("c") == "over_budget");
+    CHECK(run_turn("c") == "over_budget");
     const auto row = decode_spending(
         world.rows.read({.table = "spending", .partition = partition_of("p")}).rows.front().value);
     REQUIRE(row);
@@ -514,7 +518,7 @@
     forwarding_fixture world;
     world.buckets.start();
     world.time.run(5s);
-    token_count handed = 0;
+    token_count delivered = 0;
     for (int n = 0; n < 12; ++n)
     {
         const bool away = n % 3 != 0;
@@ -533,11 +537,11 @@
             world.last()->end(200);
         }
         world.time.run(200ms);
-        handed += 10 * std::ranges::count(view->text, 'x');
+        delivered += 10 * std::ranges::count(view->text, 'x');
         world.store.reported_reachable = true;
         world.store.mode = store_mode::available;
         world.time.run(1s);
     }
-    CHECK(handed <= 210 + 100);
-    CHECK(handed > 210);
+    CHECK(delivered <= 210 + 100);
+    CHECK(delivered > 210);
 }
--- a/tests/unit/test_gateway_spending.cpp
+++ b/tests/unit/test_gateway_spending.cpp
@@ -28,15 +28,15 @@
 struct gateway_member
 {
     gateway_member(row_table& rows, virtual_time& time, const std::string& address, const member_call& call)
-        : store(rows, time.delays()), peers({address, 1}), own(store, time.delays(), time.clock()),
-          commits(own, store, peers, call, time.delays(), time.clock()),
+        : store(rows, time.delays()), peers({address, 1}), queue(store, time.delays(), time.clock()),
+          commits(queue, store, peers, call, time.delays(), time.clock()),
           spending(store, commits, time.delays(), time.clock())
     {
     }
 
     memory_store store;
     peer_directory peers;
-    commit_queue own;
+    commit_queue queue;
     commit_router commits;
     program_spending spending;
 };
@@ -77,14 +77,14 @@
     }
 
     void reserve(std::size_t at, const std::string& request, token_count tokens, token_count budget,
-                 bool first_turn = false, milliseconds life = 3s)
+                 bool first_turn = false, milliseconds lifetime = 3s)
     {
         gateways[at]->spending.reserve({.program = {"p"},
                                         .request = {request},
                                         .tokens = tokens,
                                         .budget = budget,
                                         .first_turn = first_turn,
-                                        .expires = time.now() + life},
+                                        .expires = time.now() + lifetime},
                                        [this, request](reservation_outcome it) { outcomes[request] = it; });
     }
 
@@ -235,42 +235,42 @@
 TEST_CASE("all gateways together never grant more than the budget, under any fault")
 {
     constexpr token_count budget = 900;
-    constexpr token_count most = 280;
+    constexpr token_count max_tokens = 280;
     for (unsigned seed = 0; seed < 120; ++seed)
     {
         CAPTURE(seed);
         std::mt19937 random{seed};
-        const auto draw = [&random](unsigned n) { return static_cast<unsigned>(random() % n); };
+        const auto random_below = [&random](unsigned n) { return static_cast<unsigned>(random() % n); };
         spending_world world{3, seed % 2 == 1};
         std::map<std::string, token_count> counted;
-        int next = 0;
+        int next_request = 0;
         for (int step = 0; step < 120; ++step)
         {
-            const auto at = draw(3);
+            const auto at = random_below(3);
             constexpr std::array modes{store_mode::available, store_mode::available, store_mode::refusing,
                                        store_mode::unresponsive, store_mode::answers_lost};
-            world.gateways[at]->store.mode = modes.at(draw(modes.size()));
-            if (draw(40) == 0)
+            world.gateways[at]->store.mode = modes.at(random_below(modes.size()));
+            if (random_below(40) == 0)
             {
                 // The process loses its state. The object stays alive, since pending timers still refer to
                 // it.
                 static std::vector<std::unique_ptr<gateway_member>> lost_gateways;
                 lost_gateways.push_back(std::exchange(world.gateways[at], world.make(at, 3)));
             }
-            const auto name = std::to_string(next++);
+            const auto name = std::to_string(next_request++);
             counted[name] = 0;
-            world.reserve(at, name, most, budget, draw(4) == 0);
-            world.time.run(milliseconds{draw(150)});
+            world.reserve(at, name, max_tokens, budget, random_below(4) == 0);
+            world.time.run(milliseconds{random_below(150)});
             for (auto& [request, tokens] : counted)
             {
                 if (tokens == 0 && world.has(request, reservation_outcome::granted))
                 {
-                    tokens = most;
+                    tokens = max_tokens;
                 }
             }
-            if (draw(2) == 0 && world.has(name, reservation_outcome::granted))
+            if (random_below(2) == 0 && world.has(name, reservation_outcome::granted))
             {
-                counted[name] = draw(most) + 1;
+                counted[name] = random_below(max_tokens) + 1;
                 world.gateways[at]->spending.settle({"p"}, {name}, counted[name]);
             }
             token_count sum = 0;
