--- a/include/masticcourse/gateway/access/workspace_directory.hpp
+++ b/include/masticcourse/gateway/access/workspace_directory.hpp
@@ -71,7 +71,7 @@
 /// @return the id by which the system knows what belongs to a workspace: callers of two workspaces may choose
 /// the same id for their programs or turns. Without a workspace the id stays as it is.
 template <typename Id>
-[[nodiscard]] Id in_workspace(const workspace_id& workspace, const Id& id)
+[[nodiscard]] Id workspace_scoped_id(const workspace_id& workspace, const Id& id)
 {
     // Callers' ids hold no slash, so no two pairs give one id.
     return workspace.empty() ? id : Id{workspace.value + "/" + id.value};
--- a/include/masticcourse/gateway/quota/quota_account.hpp
+++ b/include/masticcourse/gateway/quota/quota_account.hpp
@@ -21,7 +21,7 @@
 };
 
 /// Portions that have been drawn, the oldest used first.
-class portion_list
+class permit_pool
 {
   public:
     void add(std::uint32_t requests, time_point expires);
@@ -29,12 +29,12 @@
     [[nodiscard]] std::optional<quota_permit> take(time_point now);
 
   private:
-    struct portion
+    struct permit_batch
     {
         std::uint32_t requests = 0;
         time_point expires;
     };
-    std::deque<portion> m_portions;
+    std::deque<permit_batch> m_batches;
 };
 
 /// How many requests of a workspace come to this gateway, so that those soon to come are asked for ahead.
@@ -53,16 +53,16 @@
 };
 
 /// Which slices have no room, and until when.
-class slice_pauses
+class slice_backoffs
 {
   public:
-    void pause(std::size_t slice, quota_need need, time_point until);
-    [[nodiscard]] bool paused(std::size_t slice, quota_need need, time_point now) const;
+    void back_off(std::size_t slice, admission_kind kind, time_point until);
+    [[nodiscard]] bool backed_off(std::size_t slice, admission_kind kind, time_point now) const;
     /// @return when the first of the slices that have no room has some again; nothing if there is none
-    [[nodiscard]] std::optional<time_point> first_room(quota_need need, time_point now) const;
+    [[nodiscard]] std::optional<time_point> earliest_retry(admission_kind kind, time_point now) const;
 
   private:
-    std::array<std::array<time_point, most_slices>, 2> m_until{};
+    std::array<std::array<time_point, max_slices>, 2> m_until{};
 };
 
 } // namespace masticcourse::gateway
--- a/include/masticcourse/gateway/quota/quota_messages.hpp
+++ b/include/masticcourse/gateway/quota/quota_messages.hpp
@@ -13,17 +13,17 @@
 {
 
 /// Names one slice of a workspace's quota.
-struct slice_name
+struct slice_id
 {
     workspace_id workspace;
     std::size_t index = 0;
 
-    friend bool operator==(const slice_name&, const slice_name&) = default;
+    friend bool operator==(const slice_id&, const slice_id&) = default;
 };
 
-struct slice_question
+struct grant_request
 {
-    slice_name slice;
+    slice_id slice;
     slice_demand demand;
 };
 
@@ -33,16 +33,16 @@
     friend bool operator==(const not_holder&, const not_holder&) = default;
 };
 
-using slice_answer = std::variant<not_holder, slice_grant>;
+using grant_response = std::variant<not_holder, slice_grant>;
 
 /// @name On the wire between gateways: CBOR, arrays in a fixed order
 /// @{
-[[nodiscard]] std::string encode(const slice_question& question);
+[[nodiscard]] std::string encode(const grant_request& request);
 /// @return nothing if @a bytes are no question
-[[nodiscard]] std::optional<slice_question> decode_slice_question(const std::string& bytes);
-[[nodiscard]] std::string encode(const slice_answer& answer);
+[[nodiscard]] std::optional<grant_request> decode_grant_request(const std::string& bytes);
+[[nodiscard]] std::string encode(const grant_response& response);
 /// @return nothing if @a bytes are no answer
-[[nodiscard]] std::optional<slice_answer> decode_slice_answer(const std::string& bytes);
+[[nodiscard]] std::optional<grant_response> decode_grant_response(const std::string& bytes);
 /// @}
 
 } // namespace masticcourse::gateway
--- a/include/masticcourse/gateway/quota/quota_slice.hpp
+++ b/include/masticcourse/gateway/quota/quota_slice.hpp
@@ -16,7 +16,7 @@
 {
 
 /// What a request is to its program.
-enum class quota_need : std::uint8_t
+enum class admission_kind : std::uint8_t
 {
     /// It begins a program.
     start,
@@ -30,9 +30,9 @@
     std::uint32_t starts = 0;
     std::uint32_t others = 0;
 
-    [[nodiscard]] std::uint32_t of(quota_need need) const
+    [[nodiscard]] std::uint32_t of(admission_kind kind) const
     {
-        return need == quota_need::start ? starts : others;
+        return kind == admission_kind::start ? starts : others;
     }
 
     friend bool operator==(const request_counts&, const request_counts&) = default;
@@ -44,19 +44,19 @@
     /// Requests that wait.
     request_counts waiting;
     /// Further ones, of programs under way, that are expected within a portion's life.
-    std::uint32_t ahead = 0;
+    std::uint32_t prefetch = 0;
 };
 
 struct slice_grant
 {
     request_counts granted;
     /// Until the slice has room for one more of each kind; zero where all that waited was granted.
-    milliseconds starts_after{};
-    milliseconds others_after{};
+    milliseconds starts_retry_after{};
+    milliseconds others_retry_after{};
 
-    [[nodiscard]] milliseconds after(quota_need need) const
+    [[nodiscard]] milliseconds retry_after_for(admission_kind kind) const
     {
-        return need == quota_need::start ? starts_after : others_after;
+        return kind == admission_kind::start ? starts_retry_after : others_retry_after;
     }
 
     friend bool operator==(const slice_grant&, const slice_grant&) = default;
@@ -69,7 +69,7 @@
   public:
     explicit token_bucket(time_point now) : m_updated(now) {}
 
-    void fill(double rate, double most, time_point now);
+    void refill(double rate, double capacity, time_point now);
     /// The level may go below zero: a debt that is paid off first.
     void take(double tokens)
     {
@@ -80,7 +80,7 @@
         return m_level;
     }
     /// @return how long until the level is @a tokens
-    [[nodiscard]] milliseconds until(double tokens, double rate) const;
+    [[nodiscard]] milliseconds time_until(double tokens, double rate) const;
 
   private:
     double m_level = 0;
@@ -88,10 +88,10 @@
 };
 
 /// How many requests a program of a workspace sends on average, from what was granted lately.
-class program_size
+class program_size_estimate
 {
   public:
-    explicit program_size(time_point now) : m_updated(now) {}
+    explicit program_size_estimate(time_point now) : m_updated(now) {}
 
     void record(const request_counts& granted, time_point now);
     /// @return requests a program, its first one included
@@ -104,43 +104,45 @@
 };
 
 /// How new programs are let in.
-enum class start_policy : std::uint8_t
+enum class program_admission : std::uint8_t
 {
     /// A program's first request is one like any other.
-    as_they_come,
+    per_request,
     /// It pays for the whole program.
-    paid_ahead,
+    prepaid,
 };
 
 class quota_slice
 {
   public:
     /// @param since when the slice came to this gateway
-    explicit quota_slice(time_point since, start_policy policy = start_policy::paid_ahead)
-        : m_policy(policy), m_since(since), m_requests(since), m_starts(since), m_size(since)
+    explicit quota_slice(time_point acquired_at, program_admission policy = program_admission::prepaid)
+        : m_policy(policy), m_acquired_at(acquired_at), m_request_tokens(acquired_at),
+          m_start_tokens(acquired_at), m_program_size(acquired_at)
     {
     }
 
-    [[nodiscard]] slice_grant grant(const slice_demand& demand, const slice_terms& terms, time_point now);
+    [[nodiscard]] slice_grant grant(const slice_demand& demand, const slice_limits& limits, time_point now);
 
-    [[nodiscard]] time_point since() const
+    [[nodiscard]] time_point acquired_at() const
     {
-        return m_since;
+        return m_acquired_at;
     }
 
   private:
-    [[nodiscard]] std::uint32_t grant_others(const slice_demand& demand, const slice_terms& terms);
-    [[nodiscard]] std::uint32_t grant_starts(std::uint32_t waiting, const slice_terms& terms, time_point now);
+    [[nodiscard]] std::uint32_t grant_others(const slice_demand& demand, const slice_limits& limits);
+    [[nodiscard]] std::uint32_t grant_starts(std::uint32_t waiting, const slice_limits& limits,
+                                             time_point now);
     /// @return what is kept for programs under way
-    [[nodiscard]] double kept_from_starts(const slice_terms& terms, time_point now) const;
-    [[nodiscard]] milliseconds until_next_start(const slice_terms& terms, time_point now) const;
+    [[nodiscard]] double in_progress_reserve(const slice_limits& limits, time_point now) const;
+    [[nodiscard]] milliseconds time_until_next_start(const slice_limits& limits, time_point now) const;
 
-    start_policy m_policy;
-    time_point m_since;
-    token_bucket m_requests;
+    program_admission m_policy;
+    time_point m_acquired_at;
+    token_bucket m_request_tokens;
     /// What programs pay for when they begin.
-    token_bucket m_starts;
-    program_size m_size;
+    token_bucket m_start_tokens;
+    program_size_estimate m_program_size;
 };
 
 } // namespace masticcourse::gateway
--- a/include/masticcourse/gateway/quota/quota_terms.hpp
+++ b/include/masticcourse/gateway/quota/quota_terms.hpp
@@ -25,9 +25,9 @@
 };
 
 /// The most slices of one workspace. With one holder gone, the others still carry what is usual.
-inline constexpr std::size_t most_slices = 4;
+inline constexpr std::size_t max_slices = 4;
 
-struct slice_terms
+struct slice_limits
 {
     /// Slices of the workspace.
     std::size_t count = 1;
@@ -36,7 +36,7 @@
     /// The most requests that one slice saves up.
     double burst = 1;
     /// How long after it was asked for a portion may be used.
-    milliseconds portion_life{};
+    milliseconds permit_lifetime{};
 };
 
 /// Requests come in bursts to one slice or another, so what the rule tolerates beyond the quota makes the
@@ -44,6 +44,6 @@
 /// @return the terms under which all slices of a quota together keep the rule: a portion that is used late
 /// counts in a window that began after it was handed out, so the window is reckoned longer by a portion's
 /// life
-[[nodiscard]] slice_terms terms_of(const request_quota& quota, const quota_rule& rule);
+[[nodiscard]] slice_limits slice_limits_for(const request_quota& quota, const quota_rule& rule);
 
 } // namespace masticcourse::gateway
--- a/include/masticcourse/gateway/quota/workspace_quotas.hpp
+++ b/include/masticcourse/gateway/quota/workspace_quotas.hpp
@@ -39,19 +39,19 @@
 
 /// The buckets into which slices fall: enough that hundreds of gateways share the work of holding them.
 inline constexpr std::size_t quota_bucket_count = 64;
-[[nodiscard]] std::size_t quota_bucket_of(const slice_name& slice);
+[[nodiscard]] std::size_t quota_bucket_of(const slice_id& slice);
 [[nodiscard]] ownership_terms quota_ownership_terms();
 
 /// How long a request of a program under way waits for room rather than being refused: a program ends with a
 /// call that is refused twice, and bursts within a program are short. So long does any request wait for a
 /// holder that is just starting again.
-inline constexpr milliseconds longest_wait_for_room{1'000};
+inline constexpr milliseconds default_max_wait{1'000};
 
 struct quota_options
 {
     quota_rule rule;
-    start_policy policy = start_policy::paid_ahead;
-    milliseconds longest_wait = longest_wait_for_room;
+    program_admission policy = program_admission::prepaid;
+    milliseconds max_wait = default_max_wait;
 };
 
 class workspace_quotas
@@ -68,7 +68,7 @@
     /// Asks for a permit of a workspace that has a quota. Calls back once, at once if one is left of a
     /// portion drawn before. A request that begins a program is refused as soon as no slice has
     /// room for it.
-    void draw(const workspace& owner, quota_need need, quota_callback on_result);
+    void acquire(const workspace& owner, admission_kind kind, quota_callback on_result);
 
     /// @return whether a permit may still be used
     [[nodiscard]] bool valid(const quota_permit& permit) const
@@ -78,12 +78,12 @@
 
     /// Answers a peer.
     /// @return nothing if the question can't be read
-    [[nodiscard]] std::optional<std::string> serve(const std::string& bytes);
+    [[nodiscard]] std::optional<std::string> handle_peer_request(const std::string& bytes);
 
   private:
     struct waiting_request
     {
-        quota_need need = quota_need::other;
+        admission_kind kind = admission_kind::other;
         /// Until then it waits for room.
         time_point until;
         quota_callback on_result;
@@ -93,56 +93,56 @@
     {
         explicit account(time_point now) : demand(now) {}
 
-        portion_list starts;
-        portion_list others;
+        permit_pool starts;
+        permit_pool others;
         demand_rate demand;
-        slice_pauses pauses;
+        slice_backoffs backoffs;
         /// Counts the questions asked.
-        std::size_t turn = 0;
+        std::size_t round_robin_index = 0;
         std::deque<waiting_request> waiting;
-        bool asking = false;
+        bool request_in_flight = false;
         /// The slices are asked again when one has room.
-        bool retry_planned = false;
+        bool retry_scheduled = false;
     };
     struct slice_hash
     {
-        std::size_t operator()(const slice_name& it) const noexcept;
+        std::size_t operator()(const slice_id& it) const noexcept;
     };
 
-    [[nodiscard]] static portion_list& portions(account& it, quota_need need);
+    [[nodiscard]] static permit_pool& permits_for(account& it, admission_kind kind);
     [[nodiscard]] static request_counts count_waiting(const account& it);
     /// Serves those who wait from what has been drawn.
-    void serve_waiting(account& it);
+    void grant_waiting(account& it);
     /// Asks one slice after the other until nobody waits, or none has room.
-    void ask_next(const workspace_id& name);
-    void ask(const slice_question& question, const slice_terms& terms);
+    void request_next_slice(const workspace_id& name);
+    void send_request(const grant_request& request, const slice_limits& limits);
     /// A holder gave no portion; @a answered tells whether it said so.
-    void leave_out(const std::string& holder, const workspace_id& name, bool answered);
-    void on_answer(const slice_question& question, const slice_terms& terms, time_point asked,
-                   const slice_answer& answer);
+    void exclude_holder(const std::string& holder, const workspace_id& name, bool responded);
+    void on_response(const grant_request& request, const slice_limits& limits, time_point sent_at,
+                     const grant_response& response);
     /// @return the next question for a slice that may have room for some who wait, or nothing
-    [[nodiscard]] std::optional<slice_question> next_question(const workspace_id& name, const account& it,
-                                                              const slice_terms& terms) const;
+    [[nodiscard]] std::optional<grant_request> next_request(const workspace_id& name, const account& it,
+                                                            const slice_limits& limits) const;
     /// @return those of @a waiting that the slice may have room for
-    [[nodiscard]] request_counts not_paused(const account& it, std::size_t slice,
-                                            const request_counts& waiting) const;
+    [[nodiscard]] request_counts without_backoff(const account& it, std::size_t slice,
+                                                 const request_counts& waiting) const;
     /// No slice has room now: those who can't wait for it are refused, and for the others the slices are
     /// asked again when one has.
-    void wait_for_room(const workspace_id& name, account& it, const slice_terms& limit);
+    void wait_or_refuse(const workspace_id& name, account& it, const slice_limits& limits);
     /// @return how many can be served within the longest wait: more are refused at once
-    [[nodiscard]] std::ptrdiff_t most_waiting(const slice_terms& limit) const;
-    void plan_retry(const workspace_id& name, account& it, milliseconds pause);
-    void refuse(const workspace_id& name, const waiting_request& it, std::optional<time_point> room);
+    [[nodiscard]] std::ptrdiff_t max_waiting(const slice_limits& limits) const;
+    void schedule_retry(const workspace_id& name, account& it, milliseconds delay);
+    void refuse(const workspace_id& name, const waiting_request& it, std::optional<time_point> retry_at);
     /// The workspace has no quota any more: all may go on.
-    void release_waiting(account& it);
-    [[nodiscard]] slice_answer grant(const slice_question& question);
+    void admit_waiting(account& it);
+    [[nodiscard]] grant_response grant_locally(const grant_request& request);
     /// The slices in the order in which this gateway asks them: its own first, the others in turn, so that
     /// all are drawn on alike.
-    [[nodiscard]] std::vector<std::size_t> order(const workspace_id& name, const account& it,
-                                                 std::size_t count) const;
+    [[nodiscard]] std::vector<std::size_t> slice_order(const workspace_id& name, const account& it,
+                                                       std::size_t count) const;
     /// @return nothing if the workspace is not known, or has no quota
-    [[nodiscard]] std::optional<slice_terms> terms(const workspace_id& name) const;
-    [[nodiscard]] bool reachable(const slice_name& slice) const;
+    [[nodiscard]] std::optional<slice_limits> limits_for(const workspace_id& name) const;
+    [[nodiscard]] bool reachable(const slice_id& slice) const;
 
     quota_options m_options;
     bucket_ownership& m_buckets;
@@ -154,9 +154,9 @@
     metrics_registry& m_metrics;
     config_ptr m_config;
     std::unordered_map<workspace_id, account> m_accounts;
-    std::unordered_map<slice_name, quota_slice, slice_hash> m_slices;
+    std::unordered_map<slice_id, quota_slice, slice_hash> m_slices;
     /// Holders that did not answer, and until when they are left out.
-    std::unordered_map<std::string, time_point> m_silent_until;
+    std::unordered_map<std::string, time_point> m_excluded_until;
 };
 
 } // namespace masticcourse::gateway
--- a/src/gateway/forwarded_request.cpp
+++ b/src/gateway/forwarded_request.cpp
@@ -90,8 +90,8 @@
         self->m_permit = std::get<quota_permit>(result);
         (self.get()->*handler)();
     };
-    m_services.quotas.draw(*m_quota_workspace, is_program_start() ? quota_need::start : quota_need::other,
-                           on_result);
+    m_services.quotas.acquire(*m_quota_workspace,
+                              is_program_start() ? admission_kind::start : admission_kind::other, on_result);
 }
 
 bool forwarded_request::is_program_start() const
@@ -147,17 +147,17 @@
     m_quota_workspace = owner.quota ? &owner : nullptr;
     if (auto& context = m_request.program)
     {
-        context->program = in_workspace(owner.name, context->program);
+        context->program = workspace_scoped_id(owner.name, context->program);
         if (context->previous_turn)
         {
-            context->previous_turn = in_workspace(owner.name, *context->previous_turn);
+            context->previous_turn = workspace_scoped_id(owner.name, *context->previous_turn);
         }
     }
 }
 
 request_id forwarded_request::turn_id() const
 {
-    return in_workspace(m_request.workspace, m_request.id);
+    return workspace_scoped_id(m_request.workspace, m_request.id);
 }
 
 bool forwarded_request::has_budget() const
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -415,7 +415,7 @@
 
 void gateway::serve_quota(const http_request& request, const std::shared_ptr<http_exchange>& exchange)
 {
-    exchange->respond(detail::to_response(m_state->quotas.serve(request.body)));
+    exchange->respond(detail::to_response(m_state->quotas.handle_peer_request(request.body)));
 }
 
 } // namespace masticcourse::gateway
--- a/src/gateway/quota/quota_messages.cpp
+++ b/src/gateway/quota/quota_messages.cpp
@@ -16,7 +16,7 @@
 using nlohmann::json;
 
 /// @throws std::invalid_argument unless it is an array of that size
-void expect_array(const json& it, std::size_t size)
+void require_array(const json& it, std::size_t size)
 {
     if (!it.is_array() || it.size() != size)
     {
@@ -34,59 +34,59 @@
     return it.get<std::uint32_t>();
 }
 
-milliseconds to_wait(const json& it)
+milliseconds to_duration(const json& it)
 {
     return milliseconds{to_count(it)};
 }
 
-slice_question to_question(const json& it)
+grant_request to_grant_request(const json& it)
 {
-    expect_array(it, 5);
+    require_array(it, 5);
     return {.slice = {.workspace = {it.at(0).get<std::string>()}, .index = to_count(it.at(1))},
             .demand = {.waiting = {.starts = to_count(it.at(2)), .others = to_count(it.at(3))},
-                       .ahead = to_count(it.at(4))}};
+                       .prefetch = to_count(it.at(4))}};
 }
 
-slice_answer to_answer(const json& it)
+grant_response to_grant_response(const json& it)
 {
     if (it.is_array() && it.empty())
     {
         return not_holder{};
     }
-    expect_array(it, 4);
+    require_array(it, 4);
     return slice_grant{.granted = {.starts = to_count(it.at(0)), .others = to_count(it.at(1))},
-                       .starts_after = to_wait(it.at(2)),
-                       .others_after = to_wait(it.at(3))};
+                       .starts_retry_after = to_duration(it.at(2)),
+                       .others_retry_after = to_duration(it.at(3))};
 }
 
 } // namespace
 
-std::string encode(const slice_question& question)
+std::string encode(const grant_request& request)
 {
-    const auto& [slice, demand] = question;
+    const auto& [slice, demand] = request;
     return encode_cbor(json::array(
-        {slice.workspace.value, slice.index, demand.waiting.starts, demand.waiting.others, demand.ahead}));
+        {slice.workspace.value, slice.index, demand.waiting.starts, demand.waiting.others, demand.prefetch}));
 }
 
-std::optional<slice_question> decode_slice_question(const std::string& bytes)
+std::optional<grant_request> decode_grant_request(const std::string& bytes)
 {
-    return decode_cbor(bytes, to_question);
+    return decode_cbor(bytes, to_grant_request);
 }
 
-std::string encode(const slice_answer& answer)
+std::string encode(const grant_response& response)
 {
-    const auto* const grant = std::get_if<slice_grant>(&answer);
+    const auto* const grant = std::get_if<slice_grant>(&response);
     if (grant == nullptr)
     {
         return encode_cbor(json::array());
     }
-    return encode_cbor(json::array({grant->granted.starts, grant->granted.others, grant->starts_after.count(),
-                                    grant->others_after.count()}));
+    return encode_cbor(json::array({grant->granted.starts, grant->granted.others,
+                                    grant->starts_retry_after.count(), grant->others_retry_after.count()}));
 }
 
-std::optional<slice_answer> decode_slice_answer(const std::string& bytes)
+std::optional<grant_response> decode_grant_response(const std::string& bytes)
 {
-    return decode_cbor(bytes, to_answer);
+    return decode_cbor(bytes, to_grant_response);
 }
 
 } // namespace masticcourse::gateway
--- a/src/gateway/quota/quota_terms.cpp
+++ b/src/gateway/quota/quota_terms.cpp
@@ -11,26 +11,27 @@
 using real_seconds = std::chrono::duration<double>;
 
 /// A shorter life would let most of what is drawn ahead lapse; a longer one takes as much from the burst.
-constexpr real_seconds shortest_life{0.1};
-constexpr real_seconds longest_life{0.5};
+constexpr real_seconds min_permit_lifetime{0.1};
+constexpr real_seconds max_permit_lifetime{0.5};
 
 } // namespace
 
-slice_terms terms_of(const request_quota& quota, const quota_rule& rule)
+slice_limits slice_limits_for(const request_quota& quota, const quota_rule& rule)
 {
     const auto window = real_seconds{rule.window}.count();
-    const auto stated = quota.rate * window + quota.burst;
-    const auto allowed = stated * (1 + rule.overage) + rule.slack;
-    const auto life = std::clamp(real_seconds{(allowed - stated) / quota.rate}, shortest_life, longest_life);
-    const auto reckoned = window + life.count();
-    const auto burst = std::max(1.0, allowed - quota.rate * reckoned);
-    const auto rate = std::min(quota.rate, std::max(0.0, allowed - burst) / reckoned);
-    const auto count = std::min(most_slices, static_cast<std::size_t>(burst));
+    const auto nominal = quota.rate * window + quota.burst;
+    const auto allowed = nominal * (1 + rule.overage) + rule.slack;
+    const auto lifetime =
+        std::clamp(real_seconds{(allowed - nominal) / quota.rate}, min_permit_lifetime, max_permit_lifetime);
+    const auto effective_window = window + lifetime.count();
+    const auto burst = std::max(1.0, allowed - quota.rate * effective_window);
+    const auto rate = std::min(quota.rate, std::max(0.0, allowed - burst) / effective_window);
+    const auto count = std::min(max_slices, static_cast<std::size_t>(burst));
     const auto slices = static_cast<double>(count);
     return {.count = count,
             .rate = rate / slices,
             .burst = burst / slices,
-            .portion_life = std::chrono::floor<milliseconds>(life)};
+            .permit_lifetime = std::chrono::floor<milliseconds>(lifetime)};
 }
 
 } // namespace masticcourse::gateway
--- a/src/gateway/quota/workspace_quotas.cpp
+++ b/src/gateway/quota/workspace_quotas.cpp
@@ -15,19 +15,19 @@
 {
 
 /// Of what came lately, so much is asked for ahead.
-constexpr milliseconds ahead_span{250};
+constexpr milliseconds prefetch_window{250};
 /// How long a holder that did not answer is left out.
-constexpr milliseconds silent_pause{1'000};
+constexpr milliseconds unresponsive_backoff{1'000};
 /// The same for one that does not hold the slice: it has just started and takes it, or another does.
-constexpr milliseconds not_holder_pause{200};
+constexpr milliseconds not_holder_backoff{200};
 /// Between two looks for a holder while there is none.
-constexpr milliseconds holder_pause{100};
+constexpr milliseconds no_holder_poll_interval{100};
 /// When to come back if no holder could be asked: one that was killed is back by then, or another is asked.
-constexpr milliseconds after_no_holder{500};
+constexpr milliseconds no_holder_retry_after{500};
 /// A slice without room is left alone for so long at least, and longer the more gateways may ask it: what its
 /// holder is asked in a flood does not grow with them.
-constexpr milliseconds least_pause{50};
-constexpr milliseconds pause_per_gateway{2};
+constexpr milliseconds min_backoff{50};
+constexpr milliseconds backoff_per_gateway{2};
 
 std::uint64_t hash_of(std::string_view text)
 {
@@ -36,10 +36,10 @@
 
 } // namespace
 
-std::size_t quota_bucket_of(const slice_name& slice)
+std::size_t quota_bucket_of(const slice_id& slice)
 {
     // Neighbouring buckets often have one holder: the slices of a workspace lie far from each other.
-    constexpr auto distance = quota_bucket_count / most_slices;
+    constexpr auto distance = quota_bucket_count / max_slices;
     return (hash_of(slice.workspace.value) + slice.index * distance) % quota_bucket_count;
 }
 
@@ -52,7 +52,7 @@
             .lease = lease_terms{}};
 }
 
-std::size_t workspace_quotas::slice_hash::operator()(const slice_name& it) const noexcept
+std::size_t workspace_quotas::slice_hash::operator()(const slice_id& it) const noexcept
 {
     return hash_of(it.workspace.value) + it.index;
 }
@@ -78,55 +78,56 @@
                   [this](const auto& it)
                   {
                       const auto& [name, one] = it;
-                      return !one.asking && !one.retry_planned && one.waiting.empty() && !terms(name);
+                      return !one.request_in_flight && !one.retry_scheduled && one.waiting.empty() &&
+                             !limits_for(name);
                   });
-    std::erase_if(m_slices, [this](const auto& it) { return !terms(it.first.workspace); });
+    std::erase_if(m_slices, [this](const auto& it) { return !limits_for(it.first.workspace); });
 }
 
-std::optional<slice_terms> workspace_quotas::terms(const workspace_id& name) const
+std::optional<slice_limits> workspace_quotas::limits_for(const workspace_id& name) const
 {
     const auto* const found = m_config ? m_config->workspaces.find(name) : nullptr;
-    return found != nullptr && found->quota ? std::optional{terms_of(*found->quota, m_options.rule)}
+    return found != nullptr && found->quota ? std::optional{slice_limits_for(*found->quota, m_options.rule)}
                                             : std::nullopt;
 }
 
-portion_list& workspace_quotas::portions(account& it, quota_need need)
+permit_pool& workspace_quotas::permits_for(account& it, admission_kind kind)
 {
-    return need == quota_need::start ? it.starts : it.others;
+    return kind == admission_kind::start ? it.starts : it.others;
 }
 
-void workspace_quotas::draw(const workspace& owner, quota_need need, quota_callback on_result)
+void workspace_quotas::acquire(const workspace& owner, admission_kind kind, quota_callback on_result)
 {
     const auto now = m_awake_clock();
     auto& it = m_accounts.try_emplace(owner.name, now).first->second;
-    if (need == quota_need::other)
+    if (kind == admission_kind::other)
     {
         it.demand.record(now);
     }
     if (it.waiting.empty())
     {
-        if (const auto permit = portions(it, need).take(now))
+        if (const auto permit = permits_for(it, kind).take(now))
         {
             on_result(*permit);
             return;
         }
     }
     it.waiting.push_back(
-        {.need = need, .until = now + m_options.longest_wait, .on_result = std::move(on_result)});
-    if (!it.asking)
+        {.kind = kind, .until = now + m_options.max_wait, .on_result = std::move(on_result)});
+    if (!it.request_in_flight)
     {
-        ask_next(owner.name);
+        request_next_slice(owner.name);
     }
 }
 
-void workspace_quotas::serve_waiting(account& it)
+void workspace_quotas::grant_waiting(account& it)
 {
     const auto now = m_awake_clock();
     std::vector<std::pair<quota_callback, quota_permit>> served;
     std::erase_if(it.waiting,
                   [&](waiting_request& one)
                   {
-                      const auto permit = portions(it, one.need).take(now);
+                      const auto permit = permits_for(it, one.kind).take(now);
                       if (permit)
                       {
                           served.emplace_back(std::move(one.on_result), *permit);
@@ -137,37 +138,39 @@
     std::ranges::for_each(served, [](const auto& one) { one.first(one.second); });
 }
 
-void workspace_quotas::ask_next(const workspace_id& name)
+void workspace_quotas::request_next_slice(const workspace_id& name)
 {
     auto& it = m_accounts.at(name);
-    const auto limit = terms(name);
-    if (!limit)
+    const auto limits = limits_for(name);
+    if (!limits)
     {
-        release_waiting(it);
+        admit_waiting(it);
         return;
     }
-    const auto question = next_question(name, it, *limit);
-    if (!question)
+    const auto request = next_request(name, it, *limits);
+    if (!request)
     {
-        wait_for_room(name, it, *limit);
+        wait_or_refuse(name, it, *limits);
         return;
     }
-    it.asking = true;
-    ++it.turn;
-    ask(*question, *limit);
+    it.request_in_flight = true;
+    ++it.round_robin_index;
+    send_request(*request, *limits);
 }
 
-std::optional<slice_question> workspace_quotas::next_question(const workspace_id& name, const account& it,
-                                                              const slice_terms& terms) const
+std::optional<grant_request> workspace_quotas::next_request(const workspace_id& name, const account& it,
+                                                            const slice_limits& limits) const
 {
     const auto waiting = count_waiting(it);
-    for (const auto slice : order(name, it, terms.count))
+    for (const auto slice : slice_order(name, it, limits.count))
     {
-        const auto asked = not_paused(it, slice, waiting);
-        if (asked != request_counts{} && reachable({name, slice}))
+        const auto eligible = without_backoff(it, slice, waiting);
+        if (eligible != request_counts{} && reachable({name, slice}))
         {
-            const auto ahead = asked.others > 0 ? it.demand.expected(ahead_span, m_awake_clock()) : 0;
-            return slice_question{.slice = {name, slice}, .demand = {.waiting = asked, .ahead = ahead}};
+            const auto prefetch =
+                eligible.others > 0 ? it.demand.expected(prefetch_window, m_awake_clock()) : 0;
+            return grant_request{.slice = {name, slice},
+                                 .demand = {.waiting = eligible, .prefetch = prefetch}};
         }
     }
     return std::nullopt;
@@ -175,21 +178,21 @@
 
 request_counts workspace_quotas::count_waiting(const account& it)
 {
-    const auto starts = std::ranges::count(it.waiting, quota_need::start, &waiting_request::need);
+    const auto starts = std::ranges::count(it.waiting, admission_kind::start, &waiting_request::kind);
     return {.starts = static_cast<std::uint32_t>(starts),
             .others = static_cast<std::uint32_t>(it.waiting.size()) - static_cast<std::uint32_t>(starts)};
 }
 
-request_counts workspace_quotas::not_paused(const account& it, std::size_t slice,
-                                            const request_counts& waiting) const
+request_counts workspace_quotas::without_backoff(const account& it, std::size_t slice,
+                                                 const request_counts& waiting) const
 {
     const auto now = m_awake_clock();
-    const auto count = [&](quota_need need)
-    { return it.pauses.paused(slice, need, now) ? 0U : waiting.of(need); };
-    return {.starts = count(quota_need::start), .others = count(quota_need::other)};
+    const auto count = [&](admission_kind kind)
+    { return it.backoffs.backed_off(slice, kind, now) ? 0U : waiting.of(kind); };
+    return {.starts = count(admission_kind::start), .others = count(admission_kind::other)};
 }
 
-bool workspace_quotas::reachable(const slice_name& slice) const
+bool workspace_quotas::reachable(const slice_id& slice) const
 {
     const auto bucket = quota_bucket_of(slice);
     if (m_buckets.holds(bucket))
@@ -201,16 +204,16 @@
     {
         return false;
     }
-    const auto silent = m_silent_until.find(*holder);
-    return silent == m_silent_until.end() || silent->second <= m_awake_clock();
+    const auto excluded = m_excluded_until.find(*holder);
+    return excluded == m_excluded_until.end() || excluded->second <= m_awake_clock();
 }
 
-std::vector<std::size_t> workspace_quotas::order(const workspace_id& name, const account& it,
-                                                 std::size_t count) const
+std::vector<std::size_t> workspace_quotas::slice_order(const workspace_id& name, const account& it,
+                                                       std::size_t count) const
 {
     std::vector<std::size_t> slices(count);
     std::iota(slices.begin(), slices.end(), std::size_t{0});
-    const auto first = (hash_of(m_buckets.self().address) + it.turn) % count;
+    const auto first = (hash_of(m_buckets.self().address) + it.round_robin_index) % count;
     std::ranges::rotate(slices, slices.begin() + static_cast<std::ptrdiff_t>(first));
     std::ranges::stable_partition(slices,
                                   [&](std::size_t n) {
@@ -219,164 +222,169 @@
     return slices;
 }
 
-void workspace_quotas::ask(const slice_question& question, const slice_terms& terms)
+void workspace_quotas::send_request(const grant_request& request, const slice_limits& limits)
 {
-    const auto asked = m_awake_clock();
-    const auto bucket = quota_bucket_of(question.slice);
+    const auto sent_at = m_awake_clock();
+    const auto bucket = quota_bucket_of(request.slice);
     if (m_buckets.holds(bucket))
     {
-        on_answer(question, terms, asked, grant(question));
+        on_response(request, limits, sent_at, grant_locally(request));
         return;
     }
     const auto holder = *m_buckets.holder_of(bucket);
-    m_call(holder, encode(question),
-           [this, question, terms, asked, holder](const std::optional<std::string>& bytes)
+    m_call(holder, encode(request),
+           [this, request, limits, sent_at, holder](const std::optional<std::string>& bytes)
            {
-               const auto read = bytes ? decode_slice_answer(*bytes) : std::nullopt;
-               const auto answer = read.value_or(not_holder{});
-               if (std::holds_alternative<not_holder>(answer))
+               const auto read = bytes ? decode_grant_response(*bytes) : std::nullopt;
+               const auto response = read.value_or(not_holder{});
+               if (std::holds_alternative<not_holder>(response))
                {
-                   leave_out(holder, question.slice.workspace, bytes.has_value());
+                   exclude_holder(holder, request.slice.workspace, bytes.has_value());
                }
-               on_answer(question, terms, asked, answer);
+               on_response(request, limits, sent_at, response);
            });
 }
 
-void workspace_quotas::leave_out(const std::string& holder, const workspace_id& name, bool answered)
+void workspace_quotas::exclude_holder(const std::string& holder, const workspace_id& name, bool responded)
 {
-    const auto pause = answered ? not_holder_pause : silent_pause;
-    m_silent_until[holder] = m_awake_clock() + pause;
+    const auto backoff = responded ? not_holder_backoff : unresponsive_backoff;
+    m_excluded_until[holder] = m_awake_clock() + backoff;
     log_event(event_id::quota_holder_failed, {{"holder", holder},
                                               {"workspace", name.value},
-                                              {"why", answered ? "it does not hold the slice" : "no answer"},
-                                              {"left_out_ms", std::to_string(pause.count())}});
+                                              {"why", responded ? "it does not hold the slice" : "no answer"},
+                                              {"left_out_ms", std::to_string(backoff.count())}});
 }
 
-void workspace_quotas::on_answer(const slice_question& question, const slice_terms& terms, time_point asked,
-                                 const slice_answer& answer)
+void workspace_quotas::on_response(const grant_request& request, const slice_limits& limits,
+                                   time_point sent_at, const grant_response& response)
 {
-    const auto& name = question.slice.workspace;
+    const auto& name = request.slice.workspace;
     auto& it = m_accounts.at(name);
-    it.asking = false;
-    if (const auto* const grant = std::get_if<slice_grant>(&answer))
+    it.request_in_flight = false;
+    if (const auto* const grant = std::get_if<slice_grant>(&response))
     {
-        it.starts.add(grant->granted.starts, asked + terms.portion_life);
-        it.others.add(grant->granted.others, asked + terms.portion_life);
-        for (const auto need : {quota_need::start, quota_need::other})
+        it.starts.add(grant->granted.starts, sent_at + limits.permit_lifetime);
+        it.others.add(grant->granted.others, sent_at + limits.permit_lifetime);
+        for (const auto kind : {admission_kind::start, admission_kind::other})
         {
-            if (grant->granted.of(need) < question.demand.waiting.of(need))
+            if (grant->granted.of(kind) < request.demand.waiting.of(kind))
             {
                 const auto wait =
-                    std::max(grant->after(need), m_peers.period(least_pause, pause_per_gateway));
-                it.pauses.pause(question.slice.index, need, m_awake_clock() + wait);
+                    std::max(grant->retry_after_for(kind), m_peers.period(min_backoff, backoff_per_gateway));
+                it.backoffs.back_off(request.slice.index, kind, m_awake_clock() + wait);
             }
         }
     }
-    else if (m_buckets.owns(quota_bucket_of(question.slice)))
+    else if (m_buckets.owns(quota_bucket_of(request.slice)))
     {
         // Held here a moment ago, and given up since.
-        it.pauses.pause(question.slice.index, quota_need::start, m_awake_clock() + not_holder_pause);
-        it.pauses.pause(question.slice.index, quota_need::other, m_awake_clock() + not_holder_pause);
+        it.backoffs.back_off(request.slice.index, admission_kind::start,
+                             m_awake_clock() + not_holder_backoff);
+        it.backoffs.back_off(request.slice.index, admission_kind::other,
+                             m_awake_clock() + not_holder_backoff);
     }
     // Those who go on may draw again, and must not ask meanwhile.
-    it.asking = true;
-    serve_waiting(it);
-    it.asking = false;
+    it.request_in_flight = true;
+    grant_waiting(it);
+    it.request_in_flight = false;
     if (!it.waiting.empty())
     {
-        ask_next(name);
+        request_next_slice(name);
     }
 }
 
-void workspace_quotas::wait_for_room(const workspace_id& name, account& it, const slice_terms& limit)
+void workspace_quotas::wait_or_refuse(const workspace_id& name, account& it, const slice_limits& limits)
 {
     const auto now = m_awake_clock();
     const auto can_wait = [&](const waiting_request& one)
     {
-        const auto room = it.pauses.first_room(one.need, now);
-        const bool waits = one.need == quota_need::other || !room;
-        return waits && room.value_or(now + holder_pause) <= one.until;
+        const auto retry_at = it.backoffs.earliest_retry(one.kind, now);
+        const bool waits = one.kind == admission_kind::other || !retry_at;
+        return waits && retry_at.value_or(now + no_holder_poll_interval) <= one.until;
     };
-    const auto waits_until = std::ranges::stable_partition(it.waiting, can_wait).begin();
-    const auto kept = std::min(waits_until - it.waiting.begin(), most_waiting(limit));
+    const auto cannot_wait = std::ranges::stable_partition(it.waiting, can_wait).begin();
+    const auto kept = std::min(cannot_wait - it.waiting.begin(), max_waiting(limits));
     const auto refused_from = it.waiting.begin() + kept;
     const std::vector<waiting_request> refused{refused_from, it.waiting.end()};
     it.waiting.erase(refused_from, it.waiting.end());
     if (!it.waiting.empty())
     {
-        const auto room = it.pauses.first_room(it.waiting.front().need, now);
-        plan_retry(name, it, std::chrono::ceil<milliseconds>(room.value_or(now + holder_pause) - now));
+        const auto retry_at = it.backoffs.earliest_retry(it.waiting.front().kind, now);
+        schedule_retry(
+            name, it,
+            std::chrono::ceil<milliseconds>(retry_at.value_or(now + no_holder_poll_interval) - now));
     }
-    std::ranges::for_each(refused,
-                          [&](const auto& one) { refuse(name, one, it.pauses.first_room(one.need, now)); });
+    std::ranges::for_each(refused, [&](const auto& one)
+                          { refuse(name, one, it.backoffs.earliest_retry(one.kind, now)); });
 }
 
-std::ptrdiff_t workspace_quotas::most_waiting(const slice_terms& limit) const
+std::ptrdiff_t workspace_quotas::max_waiting(const slice_limits& limits) const
 {
-    const auto wait = std::chrono::duration<double>{m_options.longest_wait}.count();
-    return std::llround(static_cast<double>(limit.count) * limit.rate * wait);
+    const auto wait = std::chrono::duration<double>{m_options.max_wait}.count();
+    return std::llround(static_cast<double>(limits.count) * limits.rate * wait);
 }
 
-void workspace_quotas::plan_retry(const workspace_id& name, account& it, milliseconds pause)
+void workspace_quotas::schedule_retry(const workspace_id& name, account& it, milliseconds delay)
 {
-    if (std::exchange(it.retry_planned, true))
+    if (std::exchange(it.retry_scheduled, true))
     {
         return;
     }
-    m_delay(pause,
+    m_delay(delay,
             [this, name]
             {
                 auto& later = m_accounts.at(name);
-                later.retry_planned = false;
-                if (!later.asking && !later.waiting.empty())
+                later.retry_scheduled = false;
+                if (!later.request_in_flight && !later.waiting.empty())
                 {
-                    ask_next(name);
+                    request_next_slice(name);
                 }
             });
 }
 
-void workspace_quotas::release_waiting(account& it)
+void workspace_quotas::admit_waiting(account& it)
 {
     const auto released = std::exchange(it.waiting, {});
-    const quota_permit permit{.expires = m_awake_clock() + m_options.longest_wait};
+    const quota_permit permit{.expires = m_awake_clock() + m_options.max_wait};
     std::ranges::for_each(released, [&](const auto& one) { one.on_result(permit); });
 }
 
 void workspace_quotas::refuse(const workspace_id& name, const waiting_request& it,
-                              std::optional<time_point> room)
+                              std::optional<time_point> retry_at)
 {
-    const auto wait = room ? std::chrono::ceil<milliseconds>(*room - m_awake_clock()) : after_no_holder;
+    const auto wait =
+        retry_at ? std::chrono::ceil<milliseconds>(*retry_at - m_awake_clock()) : no_holder_retry_after;
     m_metrics
         .get_counter("masticcourse_quota_refusals_total", "Requests without a permit, by reason.",
-                     {{"reason", room ? "used_up" : "no_holder"},
-                      {"need", it.need == quota_need::start ? "start" : "other"},
+                     {{"reason", retry_at ? "used_up" : "no_holder"},
+                      {"need", it.kind == admission_kind::start ? "start" : "other"},
                       {"workspace", name.value}})
         .add();
-    it.on_result(quota_refusal{.used_up = room.has_value(), .retry_after = wait});
+    it.on_result(quota_refusal{.used_up = retry_at.has_value(), .retry_after = wait});
 }
 
-slice_answer workspace_quotas::grant(const slice_question& question)
+grant_response workspace_quotas::grant_locally(const grant_request& request)
 {
-    const auto limit = terms(question.slice.workspace);
-    const auto bucket = quota_bucket_of(question.slice);
-    if (!m_buckets.holds(bucket) || !limit || question.slice.index >= limit->count)
+    const auto limits = limits_for(request.slice.workspace);
+    const auto bucket = quota_bucket_of(request.slice);
+    if (!m_buckets.holds(bucket) || !limits || request.slice.index >= limits->count)
     {
         return not_holder{};
     }
-    const auto since = m_buckets.held_since(bucket);
-    auto& slice = m_slices.try_emplace(question.slice, since, m_options.policy).first->second;
-    if (slice.since() != since)
+    const auto acquired_at = m_buckets.held_since(bucket);
+    auto& slice = m_slices.try_emplace(request.slice, acquired_at, m_options.policy).first->second;
+    if (slice.acquired_at() != acquired_at)
     {
         // Another gateway has handed out from it meanwhile.
-        slice = quota_slice{since, m_options.policy};
+        slice = quota_slice{acquired_at, m_options.policy};
     }
-    return slice.grant(question.demand, *limit, m_clock());
+    return slice.grant(request.demand, *limits, m_clock());
 }
 
-std::optional<std::string> workspace_quotas::serve(const std::string& bytes)
+std::optional<std::string> workspace_quotas::handle_peer_request(const std::string& bytes)
 {
-    const auto question = decode_slice_question(bytes);
-    return question ? std::optional{encode(grant(*question))} : std::nullopt;
+    const auto request = decode_grant_request(bytes);
+    return request ? std::optional{encode(grant_locally(*request))} : std::nullopt;
 }
 
 } // namespace masticcourse::gateway
--- a/tests/support/forwarding_world.hpp
+++ b/tests/support/forwarding_world.hpp
@@ -107,8 +107,8 @@
     gateway::overdraft overdrafts{buckets, nullptr, time.clock()};
     gateway::bucket_ownership quota_buckets = make_ownership(gateway::quota_ownership_terms());
     metrics_registry metrics;
-    gateway::workspace_quotas quotas{{.longest_wait = {}}, quota_buckets, peers,        nullptr,
-                                     time.delays(),        time.clock(),  time.clock(), metrics};
+    gateway::workspace_quotas quotas{{.max_wait = {}}, quota_buckets, peers,        nullptr,
+                                     time.delays(),    time.clock(),  time.clock(), metrics};
     gateway::target_table targets;
     stub_protocol protocol;
     std::vector<upstream_request_ptr> sent;
--- a/tests/support/quota_group.cpp
+++ b/tests/support/quota_group.cpp
@@ -13,12 +13,12 @@
 using gateway::time_point;
 
 /// After that a gateway gives a message up.
-constexpr milliseconds message_limit{100};
+constexpr milliseconds message_timeout{100};
 
 } // namespace
 
-bool keeps_rule(const std::vector<time_point>& sent, const gateway::request_quota& quota,
-                const gateway::quota_rule& rule)
+bool complies_with_rule(const std::vector<time_point>& sent, const gateway::request_quota& quota,
+                        const gateway::quota_rule& rule)
 {
     const auto window = std::chrono::duration<double>{rule.window}.count();
     const auto most = (quota.rate * window + quota.burst) * (1 + rule.overage) + rule.slack;
@@ -37,23 +37,24 @@
     return true;
 }
 
-quota_group::member::member(quota_group& owner, const std::string& member_address, const std::string& life,
-                            double member_cores)
-    : group(owner), address(member_address), store(owner.rows, owner.delays_of(*this)),
+quota_group::member::member(quota_group& owner, const std::string& member_address,
+                            const std::string& incarnation, double member_cores)
+    : group(owner), address(member_address), store(owner.rows, owner.delays_for(*this)),
       peers({.address = member_address, .cores = member_cores}),
       buckets(
-          gateway::quota_ownership_terms(), store, peers, {member_address, life}, owner.delays_of(*this),
-          [this] { return group.time.now() - slept; }, owner.time.clock()),
+          gateway::quota_ownership_terms(), store, peers, {member_address, incarnation},
+          owner.delays_for(*this), [this] { return group.time.now() - frozen_total; }, owner.time.clock()),
       quotas(
           {.rule = owner.rule, .policy = owner.m_policy}, buckets, peers,
           [this](const auto& to, auto bytes, auto on_answer) { group.call(address, to, bytes, on_answer); },
-          owner.delays_of(*this), [this] { return group.time.now() - slept; }, owner.time.clock(), metrics),
+          owner.delays_for(*this), [this] { return group.time.now() - frozen_total; }, owner.time.clock(),
+          metrics),
       cores(member_cores)
 {
 }
 
 quota_group::quota_group(std::size_t count, const std::map<std::string, gateway::request_quota>& quotas,
-                         gateway::start_policy policy, milliseconds settling)
+                         gateway::program_admission policy, milliseconds settle_time)
     : m_policy(policy)
 {
     set_quotas(quotas);
@@ -61,10 +62,10 @@
     {
         start("g" + std::to_string(n));
     }
-    time.run(settling);
+    time.run(settle_time);
 }
 
-gateway::delay_function quota_group::delays_of(const member& it)
+gateway::delay_function quota_group::delays_for(const member& it)
 {
     return [this, &it](milliseconds after, const std::function<void()>& action)
     {
@@ -87,8 +88,8 @@
 {
     stop(address);
     auto& it = m_members[address] =
-        std::make_unique<member>(*this, address, std::to_string(++m_lives), cores);
-    list_peers();
+        std::make_unique<member>(*this, address, std::to_string(++m_incarnations), cores);
+    update_peers();
     it->quotas.set_config(m_config);
 }
 
@@ -96,11 +97,11 @@
 {
     if (const auto it = m_members.find(address); it != m_members.end())
     {
-        it->second->dead = true;
+        it->second->stopped = true;
         it->second->store.mode = store_mode::refusing;
-        m_dead.push_back(std::move(it->second));
+        m_stopped.push_back(std::move(it->second));
         m_members.erase(it);
-        list_peers();
+        update_peers();
     }
 }
 
@@ -108,7 +109,7 @@
 {
     auto& it = at(address);
     it.frozen_until = time.now() + span;
-    it.slept += span;
+    it.frozen_total += span;
 }
 
 void quota_group::set_quotas(const std::map<std::string, gateway::request_quota>& quotas)
@@ -125,8 +126,8 @@
     std::ranges::for_each(m_members, [this](const auto& it) { it.second->quotas.set_config(m_config); });
 }
 
-void quota_group::request(const std::string& address, const std::string& workspace, gateway::quota_need need,
-                          milliseconds work)
+void quota_group::request(const std::string& address, const std::string& workspace,
+                          gateway::admission_kind kind, milliseconds preparation)
 {
     auto* const it = &at(address);
     if (it->frozen_until > time.now())
@@ -134,24 +135,24 @@
         return;
     }
     const auto* const owner = m_config->workspaces.find({workspace});
-    it->quotas.draw(*owner, need,
-                    [this, it, workspace, work](const gateway::quota_result& result)
-                    {
-                        if (const auto* const refusal = std::get_if<gateway::quota_refusal>(&result))
-                        {
-                            refused[workspace].push_back(*refusal);
-                            return;
-                        }
-                        const auto permit = std::get<gateway::quota_permit>(result);
-                        time.delays()(work,
-                                      [this, it, workspace, permit]
-                                      {
-                                          if (!it->dead && it->quotas.valid(permit))
-                                          {
-                                              sent[workspace].push_back(time.now());
-                                          }
-                                      });
-                    });
+    it->quotas.acquire(*owner, kind,
+                       [this, it, workspace, preparation](const gateway::quota_result& result)
+                       {
+                           if (const auto* const refusal = std::get_if<gateway::quota_refusal>(&result))
+                           {
+                               refused[workspace].push_back(*refusal);
+                               return;
+                           }
+                           const auto permit = std::get<gateway::quota_permit>(result);
+                           time.delays()(preparation,
+                                         [this, it, workspace, permit]
+                                         {
+                                             if (!it->stopped && it->quotas.valid(permit))
+                                             {
+                                                 sent[workspace].push_back(time.now());
+                                             }
+                                         });
+                       });
 }
 
 std::vector<std::string> quota_group::addresses() const
@@ -161,9 +162,9 @@
     return all;
 }
 
-bool quota_group::lost()
+bool quota_group::drops_message()
 {
-    return lose_each > 0 && messages % lose_each == 0;
+    return drop_every > 0 && messages % drop_every == 0;
 }
 
 void quota_group::call(const std::string& from, const std::string& to, const std::string& bytes,
@@ -174,41 +175,42 @@
     const auto answered = std::make_shared<bool>(false);
     const auto answer = [answered, sender, on_answer](const std::optional<std::string>& text)
     {
-        if (!std::exchange(*answered, true) && !sender->dead)
+        if (!std::exchange(*answered, true) && !sender->stopped)
         {
             on_answer(text);
         }
     };
-    delays_of (*sender)(message_limit, [answer] { answer(std::nullopt); });
-    if (lost() || sender->cut)
+    delays_for (*sender)(message_timeout, [answer] { answer(std::nullopt); });
+    if (drops_message() || sender->partitioned)
     {
         return;
     }
-    const bool answer_lost = lose_each > 0 && messages % lose_each == 1;
-    time.delays()(way,
+    const bool answer_lost = drop_every > 0 && messages % drop_every == 1;
+    time.delays()(one_way_delay,
                   [this, to, bytes, sender, answer, answer_lost]
                   {
                       const auto it = m_members.find(to);
-                      if (it == m_members.end() || it->second->cut)
+                      if (it == m_members.end() || it->second->partitioned)
                       {
                           return;
                       }
                       // A frozen gateway reads the message when it wakes.
                       auto* const holder = it->second.get();
-                      delays_of (*holder)(milliseconds{0},
-                                          [this, holder, bytes, sender, answer, answer_lost]
-                                          {
-                                              const auto text =
-                                                  holder->dead ? std::nullopt : holder->quotas.serve(bytes);
-                                              if (text && !answer_lost)
-                                              {
-                                                  delays_of (*sender)(way, [answer, text] { answer(text); });
-                                              }
-                                          });
+                      delays_for (*holder)(
+                          milliseconds{0},
+                          [this, holder, bytes, sender, answer, answer_lost]
+                          {
+                              const auto text =
+                                  holder->stopped ? std::nullopt : holder->quotas.handle_peer_request(bytes);
+                              if (text && !answer_lost)
+                              {
+                                  delays_for (*sender)(one_way_delay, [answer, text] { answer(text); });
+                              }
+                          });
                   });
 }
 
-void quota_group::list_peers()
+void quota_group::update_peers()
 {
     std::vector<gateway::peer> list;
     std::ranges::transform(m_members, std::back_inserter(list),
--- a/tests/support/quota_group.hpp
+++ b/tests/support/quota_group.hpp
@@ -20,22 +20,23 @@
 
 /// @return whether over any span of the rule's window no more was sent than the rule allows
 /// @param sent in order of time
-[[nodiscard]] bool keeps_rule(const std::vector<gateway::time_point>& sent,
-                              const gateway::request_quota& quota, const gateway::quota_rule& rule);
+[[nodiscard]] bool complies_with_rule(const std::vector<gateway::time_point>& sent,
+                                      const gateway::request_quota& quota, const gateway::quota_rule& rule);
 
 class quota_group
 {
   public:
     struct member
     {
-        member(quota_group& owner, const std::string& member_address, const std::string& life, double cores);
+        member(quota_group& owner, const std::string& member_address, const std::string& incarnation,
+               double cores);
 
         quota_group& group;
         std::string address;
         /// Set while it is frozen: nothing that is due happens before.
         gateway::time_point frozen_until{};
         /// How long it has been frozen so far: its steady clock stands still meanwhile.
-        gateway::duration slept{};
+        gateway::duration frozen_total{};
         memory_store store;
         gateway::peer_directory peers;
         gateway::bucket_ownership buckets;
@@ -43,14 +44,14 @@
         gateway::workspace_quotas quotas;
         double cores = 1;
         /// No message of it arrives, and none comes to it.
-        bool cut = false;
-        bool dead = false;
+        bool partitioned = false;
+        bool stopped = false;
     };
 
     /// @param quotas by workspace; an empty one has no limit
     quota_group(std::size_t count, const std::map<std::string, gateway::request_quota>& quotas,
-                gateway::start_policy policy = gateway::start_policy::paid_ahead,
-                gateway::milliseconds settling = gateway::seconds{20});
+                gateway::program_admission policy = gateway::program_admission::prepaid,
+                gateway::milliseconds settle_time = gateway::seconds{20});
 
     /// Starts a life on a VM; one that ran there is dead from then on.
     void start(const std::string& address, double cores = 1);
@@ -62,7 +63,8 @@
     /// A request comes to a gateway; it is sent as soon as a permit is there, if that is still valid after
     /// @a work.
     void request(const std::string& address, const std::string& workspace,
-                 gateway::quota_need need = gateway::quota_need::other, gateway::milliseconds work = {});
+                 gateway::admission_kind kind = gateway::admission_kind::other,
+                 gateway::milliseconds preparation = {});
 
     /// @return the gateways, dead ones left out
     [[nodiscard]] std::vector<std::string> addresses() const;
@@ -75,9 +77,9 @@
     row_table rows;
     gateway::quota_rule rule{.window = gateway::seconds{5}, .overage = 0.1, .slack = 20};
     /// Of a message between gateways, one way.
-    gateway::milliseconds way{1};
+    gateway::milliseconds one_way_delay{1};
     /// Every so manyth message is lost; 0 loses none.
-    std::size_t lose_each = 0;
+    std::size_t drop_every = 0;
     std::size_t messages = 0;
     /// When requests of a workspace were sent.
     std::map<std::string, std::vector<gateway::time_point>> sent;
@@ -86,17 +88,17 @@
   private:
     void call(const std::string& from, const std::string& to, const std::string& bytes,
               const gateway::peer_callback& on_answer);
-    [[nodiscard]] bool lost();
+    [[nodiscard]] bool drops_message();
     /// Members are never moved or destroyed before the group is.
-    [[nodiscard]] gateway::delay_function delays_of(const member& it);
-    void list_peers();
+    [[nodiscard]] gateway::delay_function delays_for(const member& it);
+    void update_peers();
 
-    gateway::start_policy m_policy;
+    gateway::program_admission m_policy;
     gateway::config_ptr m_config;
     std::map<std::string, std::unique_ptr<member>> m_members;
     /// Their timers are still planned: they stay, unreachable.
-    std::vector<std::unique_ptr<member>> m_dead;
-    std::size_t m_lives = 0;
+    std::vector<std::unique_ptr<member>> m_stopped;
+    std::size_t m_incarnations = 0;
     config_version m_version = 0;
 };
 
--- a/tests/unit/test_gateway_access.cpp
+++ b/tests/unit/test_gateway_access.cpp
@@ -35,17 +35,18 @@
         time.run(10s);
     }
 
-    gateway_request turn_of(const std::string& key, const std::string& id, const std::string& previous = "")
+    gateway_request make_keyed_turn(const std::string& key, const std::string& id,
+                                    const std::string& previous = "")
     {
         auto request = make_turn_request(id, previous);
         request.access_key = key;
         return request;
     }
 
-    std::shared_ptr<caller_view> play(const std::string& key, const std::string& id,
-                                      const std::string& previous = "")
+    std::shared_ptr<caller_view> run_turn(const std::string& key, const std::string& id,
+                                          const std::string& previous = "")
     {
-        auto view = send(turn_of(key, id, previous));
+        auto view = send(make_keyed_turn(key, id, previous));
         time.run(100ms);
         const auto target = last();
         target->begin(200);
@@ -68,7 +69,7 @@
     config = with_workspaces(config);
     struct row
     {
-        const route& way;
+        const route& requested_route;
         const char* key;
         bool current;
         access_outcome outcome;
@@ -87,7 +88,7 @@
     for (const auto& it : table)
     {
         CAPTURE(it.key);
-        const auto decision = check_access(config, it.way, it.key, it.current);
+        const auto decision = check_access(config, it.requested_route, it.key, it.current);
         CHECK(decision.outcome == it.outcome);
         CHECK((decision.owner != nullptr ? decision.owner->name.value : "") == it.owner);
     }
@@ -115,19 +116,19 @@
 TEST_CASE("turns and budgets are a workspace's own, whatever ids callers choose")
 {
     keyed_world world;
-    CHECK(world.play("a1", "t-1")->ended);
+    CHECK(world.run_turn("a1", "t-1")->ended);
     // The other key of the workspace goes on from it.
-    CHECK(world.play("a2", "t-2", "t-1")->ended);
+    CHECK(world.run_turn("a2", "t-2", "t-1")->ended);
     CHECK(world.last()->request.body == "body of t-1;e of t-1\nbody of t-2;");
-    const auto forged = world.send(world.turn_of("b1", "t-3", "t-1"));
+    const auto forged = world.send(world.make_keyed_turn("b1", "t-3", "t-1"));
     world.time.run(200ms);
     CHECK(body_of(*forged) == "no_such_turn");
     // The same ids in another workspace are other turns of another program.
-    CHECK(world.play("b1", "t-1")->ended);
-    CHECK(world.play("b1", "t-4", "t-1")->ended);
+    CHECK(world.run_turn("b1", "t-1")->ended);
+    CHECK(world.run_turn("b1", "t-4", "t-1")->ended);
     CHECK(world.last()->request.body == "body of t-1;e of t-1\nbody of t-4;");
-    CHECK(in_workspace({""}, request_id{"t"}).value == "t");
-    CHECK(in_workspace({"w"}, request_id{"t"}) != in_workspace({"w2"}, request_id{"t"}));
+    CHECK(workspace_scoped_id({""}, request_id{"t"}).value == "t");
+    CHECK(workspace_scoped_id({"w"}, request_id{"t"}) != workspace_scoped_id({"w2"}, request_id{"t"}));
 }
 
 TEST_CASE("turns kept before there were workspaces stay where they are for callers without one")
@@ -136,10 +137,10 @@
     const auto keyed = world.config;
     forwarding_fixture plain;
     world.config = plain.config;
-    CHECK(world.play("", "old")->ended);
-    CHECK(world.play("", "next", "old")->ended);
+    CHECK(world.run_turn("", "old")->ended);
+    CHECK(world.run_turn("", "next", "old")->ended);
     world.config = keyed;
-    const auto view = world.send(world.turn_of("a1", "other", "old"));
+    const auto view = world.send(world.make_keyed_turn("a1", "other", "old"));
     world.time.run(200ms);
     CHECK(body_of(*view) == "no_such_turn");
 }
--- a/tests/unit/test_gateway_quota.cpp
+++ b/tests/unit/test_gateway_quota.cpp
@@ -22,31 +22,31 @@
 namespace
 {
 
-constexpr quota_rule usual_rule{.window = 5s, .overage = 0.1, .slack = 20};
+constexpr quota_rule default_rule{.window = 5s, .overage = 0.1, .slack = 20};
 
 /// Sends @a rate requests a second for @a span, spread evenly over the gateways named.
-void load(quota_group& group, const std::vector<std::string>& at, const std::string& workspace, double rate,
-          seconds span, quota_need need = quota_need::other)
+void send_load(quota_group& group, const std::vector<std::string>& at, const std::string& workspace,
+               double rate, seconds span, admission_kind kind = admission_kind::other)
 {
     const auto count = static_cast<std::size_t>(rate * static_cast<double>(span.count()));
     const auto pause = duration{span} / static_cast<duration::rep>(count);
     auto due = group.time.now();
     for (std::size_t n = 0; n < count; ++n)
     {
-        group.request(at[n % at.size()], workspace, need);
+        group.request(at[n % at.size()], workspace, kind);
         due += pause;
         group.time.run(std::chrono::floor<milliseconds>(due - group.time.now()));
     }
 }
 
 /// Through how many of the gateways a workspace's callers come.
-struct callers
+struct ingress
 {
     std::size_t gateways;
     std::size_t used;
 };
 
-slice_demand waiting(std::uint32_t starts, std::uint32_t others)
+slice_demand demand_of(std::uint32_t starts, std::uint32_t others)
 {
     return {.waiting = {.starts = starts, .others = others}};
 }
@@ -62,8 +62,8 @@
         std::size_t slices;
     };
     const std::array table{
-        row{{400, 400}, usual_rule, 4},     row{{27, 27}, usual_rule, 4},
-        row{{3, 3}, usual_rule, 4},         row{{2, 0}, usual_rule, 4},
+        row{{400, 400}, default_rule, 4},   row{{27, 27}, default_rule, 4},
+        row{{3, 3}, default_rule, 4},       row{{2, 0}, default_rule, 4},
         row{{0.5, 1}, {.window = 5s}, 1},   row{{1'000, 0}, {.window = 5s}, 1},
         row{{400, 400}, {.window = 1s}, 4}, row{{10, 2}, {.window = 5s, .slack = 1}, 2},
         row{{1, 1}, {.window = 100ms}, 1},
@@ -72,54 +72,54 @@
     {
         CAPTURE(it.quota.rate);
         CAPTURE(it.quota.burst);
-        const auto terms = terms_of(it.quota, it.rule);
-        CHECK(terms.count == it.slices);
-        CHECK(terms.burst >= 1);
-        CHECK(terms.portion_life >= 100ms);
-        const auto count = static_cast<double>(terms.count);
+        const auto limits = slice_limits_for(it.quota, it.rule);
+        CHECK(limits.count == it.slices);
+        CHECK(limits.burst >= 1);
+        CHECK(limits.permit_lifetime >= 100ms);
+        const auto count = static_cast<double>(limits.count);
         const auto window = std::chrono::duration<double>{it.rule.window}.count();
-        const auto life = std::chrono::duration<double>{terms.portion_life}.count();
-        const auto most = count * (terms.rate * (window + life) + terms.burst);
+        const auto lifetime = std::chrono::duration<double>{limits.permit_lifetime}.count();
+        const auto most = count * (limits.rate * (window + lifetime) + limits.burst);
         const auto allowed =
             (it.quota.rate * window + it.quota.burst) * (1 + it.rule.overage) + it.rule.slack;
         // Less than one request at once can't be handed out.
         CHECK(most <= std::max(allowed, 1.0) + 1e-9);
-        CHECK(count * terms.rate <= it.quota.rate + 1e-9);
+        CHECK(count * limits.rate <= it.quota.rate + 1e-9);
     }
 }
 
 TEST_CASE("a slice starts empty, fills at its rate up to its burst, and says when there is room")
 {
-    const slice_terms terms{.count = 4, .rate = 10, .burst = 5, .portion_life = 500ms};
+    const slice_limits limits{.count = 4, .rate = 10, .burst = 5, .permit_lifetime = 500ms};
     time_point now{1'000s};
     quota_slice slice{now};
-    auto grant = slice.grant(waiting(0, 3), terms, now);
+    auto grant = slice.grant(demand_of(0, 3), limits, now);
     CHECK(grant.granted.others == 0);
-    CHECK(grant.others_after == 100ms);
+    CHECK(grant.others_retry_after == 100ms);
     now += 250ms;
-    grant = slice.grant(waiting(0, 3), terms, now);
+    grant = slice.grant(demand_of(0, 3), limits, now);
     CHECK(grant.granted.others == 2);
-    CHECK(grant.others_after == 50ms);
+    CHECK(grant.others_retry_after == 50ms);
     now += 60s;
-    CHECK(slice.grant(waiting(0, 100), terms, now).granted.others == 5);
+    CHECK(slice.grant(demand_of(0, 100), limits, now).granted.others == 5);
 }
 
 TEST_CASE("requests are granted ahead only while there is plenty")
 {
-    const slice_terms terms{.count = 1, .rate = 10, .burst = 100, .portion_life = 500ms};
+    const slice_limits limits{.count = 1, .rate = 10, .burst = 100, .permit_lifetime = 500ms};
     time_point now{1'000s};
     quota_slice slice{now};
     now += 60s;
-    const slice_demand demand{.waiting = {.others = 10}, .ahead = 30};
-    CHECK(slice.grant(demand, terms, now).granted.others == 40);
-    CHECK(slice.grant(demand, terms, now).granted.others == 10);
-    CHECK(slice.grant(demand, terms, now).granted.others == 10);
+    const slice_demand demand{.waiting = {.others = 10}, .prefetch = 30};
+    CHECK(slice.grant(demand, limits, now).granted.others == 40);
+    CHECK(slice.grant(demand, limits, now).granted.others == 10);
+    CHECK(slice.grant(demand, limits, now).granted.others == 10);
 }
 
 // Load pattern: a flood of first requests of programs.
 TEST_CASE("as many programs begin as the slice can carry to their end, and those under way go first")
 {
-    const slice_terms terms{.count = 1, .rate = 100, .burst = 100, .portion_life = 500ms};
+    const slice_limits limits{.count = 1, .rate = 100, .burst = 100, .permit_lifetime = 500ms};
     time_point now{1'000s};
     quota_slice slice{now};
     now += 60s;
@@ -127,57 +127,58 @@
     for (int n = 0; n < 200; ++n)
     {
         now += 200ms;
-        REQUIRE(slice.grant(waiting(1, 9), terms, now).granted == request_counts{1, 9});
+        REQUIRE(slice.grant(demand_of(1, 9), limits, now).granted == request_counts{1, 9});
     }
     now += 10s;
-    const auto flood = slice.grant(waiting(1'000, 0), terms, now);
+    const auto flood = slice.grant(demand_of(1'000, 0), limits, now);
     CHECK(flood.granted.starts >= 8);
     CHECK(flood.granted.starts <= 12);
-    CHECK(flood.starts_after > 0ms);
+    CHECK(flood.starts_retry_after > 0ms);
     // Their later requests are all served, whatever else comes.
-    const auto later = slice.grant(waiting(1'000, 80), terms, now + 100ms);
+    const auto later = slice.grant(demand_of(1'000, 80), limits, now + 100ms);
     CHECK(later.granted.others == 80);
     CHECK(later.granted.starts <= 1);
 
-    quota_slice plain{now, start_policy::as_they_come};
+    quota_slice plain{now, program_admission::per_request};
     now += 60s;
-    CHECK(plain.grant(waiting(1'000, 0), terms, now).granted.starts == 100);
-    CHECK(plain.grant(waiting(0, 90), terms, now).granted.others == 0);
+    CHECK(plain.grant(demand_of(1'000, 0), limits, now).granted.starts == 100);
+    CHECK(plain.grant(demand_of(0, 90), limits, now).granted.others == 0);
 }
 
 TEST_CASE("questions and answers there and back, and nothing that is none")
 {
-    const slice_question question{.slice = {{"w"}, 3}, .demand = {.waiting = {2, 5}, .ahead = 7}};
-    const auto read = decode_slice_question(encode(question));
+    const grant_request request{.slice = {{"w"}, 3}, .demand = {.waiting = {2, 5}, .prefetch = 7}};
+    const auto read = decode_grant_request(encode(request));
     REQUIRE(read);
-    CHECK(read->slice == question.slice);
-    CHECK(read->demand.waiting == question.demand.waiting);
-    CHECK(read->demand.ahead == 7);
-    const slice_answer answer = slice_grant{.granted = {1, 2}, .starts_after = 30ms, .others_after = 40ms};
-    CHECK(decode_slice_answer(encode(answer)) == answer);
-    CHECK(decode_slice_answer(encode(slice_answer{not_holder{}})) == slice_answer{not_holder{}});
+    CHECK(read->slice == request.slice);
+    CHECK(read->demand.waiting == request.demand.waiting);
+    CHECK(read->demand.prefetch == 7);
+    const grant_response response =
+        slice_grant{.granted = {1, 2}, .starts_retry_after = 30ms, .others_retry_after = 40ms};
+    CHECK(decode_grant_response(encode(response)) == response);
+    CHECK(decode_grant_response(encode(grant_response{not_holder{}})) == grant_response{not_holder{}});
     for (const auto* text : {"", "7", R"(["w",-1,0,0,0])", R"([1,1,1,1,1])", R"(["w",0,0,0])",
                              R"(["w",0,0,0,1.5])", R"([1,2,3])", R"([1,2,3,-4])", R"({"a":1})"})
     {
         CAPTURE(text);
         std::string bytes;
         nlohmann::json::to_cbor(nlohmann::json::parse(text, nullptr, false), bytes);
-        CHECK_FALSE(decode_slice_question(bytes));
-        CHECK_FALSE(decode_slice_answer(bytes));
-        CHECK_FALSE(decode_slice_question(text));
+        CHECK_FALSE(decode_grant_request(bytes));
+        CHECK_FALSE(decode_grant_response(bytes));
+        CHECK_FALSE(decode_grant_request(text));
     }
     rc::check("any bytes",
               [](const std::string& bytes)
               {
-                  std::ignore = decode_slice_question(bytes);
-                  std::ignore = decode_slice_answer(bytes);
+                  std::ignore = decode_grant_request(bytes);
+                  std::ignore = decode_grant_response(bytes);
               });
 }
 
 TEST_CASE("what is usual is let through at once, wherever it comes in, at most one message a request")
 {
-    for (const auto& it : {callers{1, 1}, callers{6, 6}, callers{26, 1}, callers{26, 2}, callers{26, 26},
-                           callers{127, 127}, callers{400, 3}})
+    for (const auto& it : {ingress{1, 1}, ingress{6, 6}, ingress{26, 1}, ingress{26, 2}, ingress{26, 26},
+                           ingress{127, 127}, ingress{400, 3}})
     {
         CAPTURE(it.gateways);
         CAPTURE(it.used);
@@ -185,7 +186,7 @@
         auto at = group.addresses();
         at.resize(it.used);
         const auto before = group.messages;
-        load(group, at, "w", 25, 10s);
+        send_load(group, at, "w", 25, 10s);
         group.time.run(1s);
         CHECK(group.sent["w"].size() == 250);
         CHECK(group.refused["w"].empty());
@@ -195,23 +196,23 @@
 
 TEST_CASE("beyond the quota, nearly as much is let through as one counter for all would")
 {
-    for (const auto& it : {callers{1, 1}, callers{6, 6}, callers{26, 1}, callers{26, 2}, callers{26, 26},
-                           callers{127, 127}, callers{400, 400}})
+    for (const auto& it : {ingress{1, 1}, ingress{6, 6}, ingress{26, 1}, ingress{26, 2}, ingress{26, 26},
+                           ingress{127, 127}, ingress{400, 400}})
     {
         CAPTURE(it.gateways);
         CAPTURE(it.used);
         quota_group group(it.gateways, {{"w", {40, 40}}, {"other", {40, 40}}});
         auto at = group.addresses();
         at.resize(it.used);
-        load(group, at, "w", 200, 20s);
+        send_load(group, at, "w", 200, 20s);
         const auto sent = group.sent["w"].size();
-        CHECK(keeps_rule(group.sent["w"], {40, 40}, usual_rule));
+        CHECK(complies_with_rule(group.sent["w"], {40, 40}, default_rule));
         // An exact counter lets 40 * 20 + 40 through.
         CHECK(static_cast<double>(sent) >= 0.9 * 840);
         CHECK(std::ranges::all_of(group.refused["w"],
                                   [](const auto& one) { return one.used_up && one.retry_after > 0ms; }));
         // Another workspace is not touched.
-        load(group, at, "other", 25, 2s);
+        send_load(group, at, "other", 25, 2s);
         group.time.run(1s);
         CHECK(group.sent["other"].size() == 50);
     }
@@ -225,12 +226,12 @@
         CAPTURE(gateways);
         quota_group group(gateways, {{"w", {40, 40}}});
         const auto at = group.addresses();
-        load(group, at, "w", 400, 2s);
+        send_load(group, at, "w", 400, 2s);
         const auto before = group.messages;
-        load(group, at, "w", 400, 10s);
+        send_load(group, at, "w", 400, 10s);
         // Four slices, each asked five hundred times a second.
         CHECK(group.messages - before <= 4 * 500 * 10);
-        CHECK(keeps_rule(group.sent["w"], {40, 40}, usual_rule));
+        CHECK(complies_with_rule(group.sent["w"], {40, 40}, default_rule));
     }
 }
 
@@ -263,7 +264,7 @@
             CHECK(group.at("weak0").buckets.holder_of(bucket));
         }
     }
-    load(group, {"weak0", "weak1"}, "w", 25, 2s);
+    send_load(group, {"weak0", "weak1"}, "w", 25, 2s);
     group.time.run(1s);
     CHECK(group.sent["w"].size() == 50);
 }
@@ -286,9 +287,9 @@
     }
     SUBCASE("cut off")
     {
-        group.at(*holder).cut = true;
+        group.at(*holder).partitioned = true;
     }
-    load(group, at, "w", 25, 4s);
+    send_load(group, at, "w", 25, 4s);
     group.time.run(1s);
     CHECK(group.sent["w"].size() == 100);
     // One that is gone for good leaves its slice to another.
@@ -341,12 +342,12 @@
     quota_group group(6, {{"w", {40, 40}}});
     const auto bucket = quota_bucket_of({{"w"}, 0});
     const auto holder = *group.at("g0").buckets.holder_of(bucket);
-    load(group, {holder}, "w", 200, 2s);
+    send_load(group, {holder}, "w", 200, 2s);
     group.start(holder);
     group.time.run(1s);
     CHECK(group.at(holder).buckets.holds(bucket));
-    load(group, {holder}, "w", 200, 5s);
-    CHECK(keeps_rule(group.sent["w"], {40, 40}, usual_rule));
+    send_load(group, {holder}, "w", 200, 5s);
+    CHECK(complies_with_rule(group.sent["w"], {40, 40}, default_rule));
 }
 
 TEST_CASE("a gateway that comes back takes all that its life before held, also beyond its share")
@@ -370,18 +371,18 @@
 TEST_CASE("a permit that lapsed while its request was prepared is not used")
 {
     quota_group group(6, {{"w", {40, 40}}});
-    group.request("g0", "w", quota_need::other, 700ms);
+    group.request("g0", "w", admission_kind::other, 700ms);
     group.time.run(2s);
     CHECK(group.sent["w"].empty());
-    group.request("g0", "w", quota_need::other, 100ms);
+    group.request("g0", "w", admission_kind::other, 100ms);
     group.time.run(2s);
     CHECK(group.sent["w"].size() == 1);
     // Nor is what was drawn ahead.
     constexpr time_point now{1'000s};
-    portion_list portions;
-    portions.add(5, now + 500ms);
-    CHECK(portions.take(now + 499ms));
-    CHECK_FALSE(portions.take(now + 500ms));
+    permit_pool permits;
+    permits.add(5, now + 500ms);
+    CHECK(permits.take(now + 499ms));
+    CHECK_FALSE(permits.take(now + 500ms));
 }
 
 // Load pattern: a program calls many tools at once, more than its workspace has saved up.
@@ -390,7 +391,7 @@
     quota_group group(6, {{"w", {40, 40}}});
     const auto at = group.addresses();
     // What is saved up is used up.
-    load(group, at, "w", 200, 2s);
+    send_load(group, at, "w", 200, 2s);
     group.time.run(1'500ms);
     group.sent["w"].clear();
     group.refused["w"].clear();
@@ -405,7 +406,7 @@
     group.sent["w"].clear();
     for (int n = 0; n < 200; ++n)
     {
-        group.request(at[0], "w", quota_need::start);
+        group.request(at[0], "w", admission_kind::start);
     }
     group.time.run(50ms);
     CHECK(group.sent["w"].size() + group.refused["w"].size() == 200);
@@ -420,7 +421,7 @@
     group.time.run(50ms);
     // What is saved up goes on, and a second's rate waits.
     CHECK(group.refused["w"].size() >= 1'000 - 64 - 40 - 1);
-    CHECK(keeps_rule(group.sent["w"], {40, 40}, usual_rule));
+    CHECK(complies_with_rule(group.sent["w"], {40, 40}, default_rule));
 }
 
 TEST_CASE("requests wait for holders that were all killed and are just starting again")
@@ -431,7 +432,7 @@
         group.start(it);
     }
     group.time.run(200ms);
-    load(group, group.addresses(), "w", 25, 2s);
+    send_load(group, group.addresses(), "w", 25, 2s);
     group.time.run(1s);
     // They start from nothing, so a few are refused that come before there is room.
     CHECK(group.sent["w"].size() >= 45);
@@ -439,9 +440,9 @@
 
 TEST_CASE("without any holder a request is refused as undecided, not as over the quota")
 {
-    quota_group group(1, {{"w", {40, 40}}}, start_policy::paid_ahead, 0s);
+    quota_group group(1, {{"w", {40, 40}}}, program_admission::prepaid, 0s);
     group.request("g0", "w");
-    group.request("g0", "w", quota_need::start);
+    group.request("g0", "w", admission_kind::start);
     group.time.run(2s);
     REQUIRE(group.refused["w"].size() == 2);
     CHECK_FALSE(group.refused["w"][0].used_up);
@@ -452,12 +453,12 @@
 {
     quota_group group(6, {{"w", {40, 40}}});
     const auto at = group.addresses();
-    load(group, at, "w", 200, 5s);
+    send_load(group, at, "w", 200, 5s);
     group.set_quotas({{"w", {10, 10}}});
     group.time.run(5s);
     group.sent["w"].clear();
-    load(group, at, "w", 200, 10s);
-    CHECK(keeps_rule(group.sent["w"], {10, 10}, usual_rule));
+    send_load(group, at, "w", 200, 10s);
+    CHECK(complies_with_rule(group.sent["w"], {10, 10}, default_rule));
     CHECK(group.sent["w"].size() >= 80);
 }
 
@@ -473,7 +474,7 @@
                       return std::uniform_int_distribution<std::size_t>{0, n - 1}(random);
                   };
                   quota_group group(2 + pick(6), quotas);
-                  group.lose_each = pick(3) == 0 ? 7 : 0;
+                  group.drop_every = pick(3) == 0 ? 7 : 0;
                   const std::array names{"large", "small", "flat"};
                   for (int step = 0; step < 400; ++step)
                   {
@@ -488,7 +489,7 @@
                           group.freeze(one, milliseconds{500 + 500 * pick(80)});
                           break;
                       case 2:
-                          group.at(one).cut = !group.at(one).cut;
+                          group.at(one).partitioned = !group.at(one).partitioned;
                           break;
                       case 3:
                           group.at(one).store.mode = std::array{
@@ -510,8 +511,8 @@
                       default:
                           for (std::size_t n = 0; n < 40; ++n)
                           {
-                              const auto need = pick(4) == 0 ? quota_need::start : quota_need::other;
-                              group.request(one, names[pick(3)], need, milliseconds{pick(2) * pick(2'000)});
+                              const auto kind = pick(4) == 0 ? admission_kind::start : admission_kind::other;
+                              group.request(one, names[pick(3)], kind, milliseconds{pick(2) * pick(2'000)});
                               group.time.run(milliseconds{pick(4)});
                           }
                       }
@@ -519,7 +520,7 @@
                   group.time.run(5s);
                   for (const auto& [name, quota] : quotas)
                   {
-                      RC_ASSERT(keeps_rule(group.sent[name], quota, group.rule));
+                      RC_ASSERT(complies_with_rule(group.sent[name], quota, group.rule));
                   }
               });
 }
