--- a/include/masticcourse/gateway/access/access_control.hpp
+++ b/include/masticcourse/gateway/access/access_control.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Who may send a request: decided from the configuration in force alone, without network.
+/// Access control for requests, based only on the active configuration and without network access.
 #pragma once
 
 #include "masticcourse/gateway/route_table.hpp"
@@ -12,24 +12,24 @@
 
 enum class access_outcome : std::uint8_t
 {
-    /// The route asks for no key, or no workspace is configured.
+    /// The route requires no key, or no workspace is configured.
     open,
     granted,
-    /// No workspace has the key.
+    /// The key belongs to no workspace.
     unknown_key,
-    /// The key is not known here, but a newer configuration may hold it.
+    /// The key is unknown here, but a newer configuration may contain it.
     undecided,
 };
 
 struct access_decision
 {
     access_outcome outcome = access_outcome::open;
-    /// Set if access is granted; lives as long as the configuration.
+    /// Workspace that the key belongs to; set only if access is granted. Valid as long as the configuration.
     const workspace* owner = nullptr;
 };
 
-/// @param config_is_current whether the configuration is sure to be the newest one: a key that was just added
-/// must not be denied for good by a gateway that has not heard of it
+/// @param config_is_current whether the configuration is known to be the newest one. A gateway that has not
+/// yet received a newly added key must not deny it permanently.
 [[nodiscard]] access_decision check_access(const gateway_config& config, const route& route,
                                            std::string_view key, bool config_is_current);
 
--- a/include/masticcourse/gateway/access/workspace_directory.hpp
+++ b/include/masticcourse/gateway/access/workspace_directory.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The workspaces of a configuration: whose key a caller shows, and what that workspace may send.
+/// Workspaces of a configuration: their access keys, priorities and quotas.
 #pragma once
 
 #include "masticcourse/core/ids.hpp"
@@ -15,12 +15,12 @@
 namespace masticcourse::gateway
 {
 
-/// What a workspace may send through all gateways together.
+/// Rate limit of a workspace across all gateways.
 struct request_quota
 {
-    /// Requests a second.
+    /// Requests per second.
     double rate = 0;
-    /// Requests at once after a pause.
+    /// Number of requests that may be sent at once after an idle period.
     double burst = 0;
 
     friend bool operator==(const request_quota&, const request_quota&) = default;
@@ -29,11 +29,11 @@
 struct workspace
 {
     workspace_id name;
-    /// Any of them opens the workspace. They stand in no log, metric or error.
+    /// Any of these keys grants access to the workspace. Keys must not appear in logs, metrics or errors.
     std::vector<std::string> keys;
-    /// Goes before that of the route; 0 is the most urgent.
+    /// Takes precedence over the priority of the route; 0 is the most urgent.
     std::optional<std::uint32_t> priority;
-    /// Empty if the workspace has no limit.
+    /// Empty if the workspace is not rate limited.
     std::optional<request_quota> quota;
 };
 
@@ -41,39 +41,39 @@
 {
   public:
     workspace_directory() = default;
-    /// @param workspaces with names and keys that are not empty, each only once
+    /// @param workspaces names and keys must be non-empty and unique
     explicit workspace_directory(std::vector<workspace> workspaces);
 
-    /// @return the workspace that a key opens, or null
+    /// @return the workspace that the key belongs to, or `nullptr`
     [[nodiscard]] const workspace* find_by_key(std::string_view key) const;
-    /// @return the workspace of that name, or null
+    /// @return the workspace with that name, or `nullptr`
     [[nodiscard]] const workspace* find(const workspace_id& name) const;
 
     [[nodiscard]] const std::vector<workspace>& all() const
     {
         return m_workspaces;
     }
-    /// Whether no workspace is configured: then callers show no keys.
+    /// @return whether no workspace is configured; callers then need no key
     [[nodiscard]] bool empty() const
     {
         return m_workspaces.empty();
     }
-    /// Whether any workspace has a limit.
+    /// @return whether any workspace has a quota
     [[nodiscard]] bool has_quotas() const;
 
   private:
     std::vector<workspace> m_workspaces;
-    /// By key and by name: positions in the list.
+    /// Indices into `m_workspaces` by key and by name.
     std::unordered_map<std::string, std::size_t> m_by_key;
     std::unordered_map<workspace_id, std::size_t> m_by_name;
 };
 
-/// @return the id by which the system knows what belongs to a workspace: callers of two workspaces may choose
-/// the same id for their programs or turns. Without a workspace the id stays as it is.
+/// @return the internal id of a program or turn, qualified by its workspace, because callers of different
+/// workspaces may choose the same id. Without a workspace the id is returned unchanged.
 template <typename Id>
 [[nodiscard]] Id workspace_scoped_id(const workspace_id& workspace, const Id& id)
 {
-    // Callers' ids hold no slash, so no two pairs give one id.
+    // Ids chosen by callers contain no slash, so different pairs can't produce the same id.
     return workspace.empty() ? id : Id{workspace.value + "/" + id.value};
 }
 
--- a/include/masticcourse/gateway/quota/quota_account.hpp
+++ b/include/masticcourse/gateway/quota/quota_account.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What one gateway has drawn of one workspace's quota and may still use, and how much it asks for.
+/// Permits that one gateway has acquired for one workspace, its demand estimate, and its backoff per slice.
 #pragma once
 
 #include "masticcourse/gateway/quota/quota_slice.hpp"
@@ -13,19 +13,19 @@
 namespace masticcourse::gateway
 {
 
-/// Permission to send one request. It is looked at right before the request goes to a target.
+/// Permission to send one request. Its expiry is checked immediately before the request is sent to a target.
 struct quota_permit
 {
-    /// By a clock that also runs while the VM is suspended.
+    /// Measured by a clock that keeps running while the VM is suspended.
     time_point expires;
 };
 
-/// Portions that have been drawn, the oldest used first.
+/// Permits acquired in batches; the oldest batch is used first.
 class permit_pool
 {
   public:
     void add(std::uint32_t requests, time_point expires);
-    /// @return permission for one request, or nothing
+    /// @return a permit for one request, or `std::nullopt` if no unexpired permit is left
     [[nodiscard]] std::optional<quota_permit> take(time_point now);
 
   private:
@@ -37,14 +37,15 @@
     std::deque<permit_batch> m_batches;
 };
 
-/// How many requests of a workspace come to this gateway, so that those soon to come are asked for ahead.
+/// Estimates the arrival rate of a workspace's requests at this gateway, to size prefetched batches of
+/// permits.
 class demand_rate
 {
   public:
     explicit demand_rate(time_point now) : m_updated(now) {}
 
     void record(time_point now);
-    /// @return requests that are expected within @a span
+    /// @return the number of requests expected within @a span
     [[nodiscard]] std::uint32_t expected(milliseconds span, time_point now) const;
 
   private:
@@ -52,13 +53,14 @@
     time_point m_updated;
 };
 
-/// Which slices have no room, and until when.
+/// For each slice and kind of request, the time until which the slice is not asked because it has no
+/// capacity.
 class slice_backoffs
 {
   public:
     void back_off(std::size_t slice, admission_kind kind, time_point until);
     [[nodiscard]] bool backed_off(std::size_t slice, admission_kind kind, time_point now) const;
-    /// @return when the first of the slices that have no room has some again; nothing if there is none
+    /// @return the earliest end of a backoff among all slices, or `std::nullopt` if no slice is backed off
     [[nodiscard]] std::optional<time_point> earliest_retry(admission_kind kind, time_point now) const;
 
   private:
--- a/include/masticcourse/gateway/quota/quota_messages.hpp
+++ b/include/masticcourse/gateway/quota/quota_messages.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What gateways say to each other about quotas.
+/// Messages between gateways to acquire permits from a quota slice.
 #pragma once
 
 #include "masticcourse/gateway/quota/quota_slice.hpp"
@@ -12,7 +12,7 @@
 namespace masticcourse::gateway
 {
 
-/// Names one slice of a workspace's quota.
+/// Identifies one slice of a workspace's quota.
 struct slice_id
 {
     workspace_id workspace;
@@ -27,7 +27,7 @@
     slice_demand demand;
 };
 
-/// The gateway asked does not hold the slice.
+/// The receiving gateway does not hold the slice.
 struct not_holder
 {
     friend bool operator==(const not_holder&, const not_holder&) = default;
@@ -35,13 +35,13 @@
 
 using grant_response = std::variant<not_holder, slice_grant>;
 
-/// @name On the wire between gateways: CBOR, arrays in a fixed order
+/// @name Wire format between gateways: CBOR arrays with a fixed order of elements
 /// @{
 [[nodiscard]] std::string encode(const grant_request& request);
-/// @return nothing if @a bytes are no question
+/// @return `std::nullopt` if @a bytes is not a valid request
 [[nodiscard]] std::optional<grant_request> decode_grant_request(const std::string& bytes);
 [[nodiscard]] std::string encode(const grant_response& response);
-/// @return nothing if @a bytes are no answer
+/// @return `std::nullopt` if @a bytes is not a valid response
 [[nodiscard]] std::optional<grant_response> decode_grant_response(const std::string& bytes);
 /// @}
 
--- a/include/masticcourse/gateway/quota/quota_slice.hpp
+++ b/include/masticcourse/gateway/quota/quota_slice.hpp
@@ -1,11 +1,12 @@
 /// @file
-/// One slice of a workspace's quota at the gateway that holds it, and whom it serves first.
+/// One slice of a workspace's quota on the gateway that holds it, with admission control for new programs.
 ///
-/// Load pattern: a flood. One workspace sends many times its usual, and most of what it sends begins new
-/// programs. Served as they come, the first requests of all programs use the quota up, and the later ones of
-/// each are refused: nearly every program fails after work was done for it. So a program pays for all that
-/// programs of its workspace usually send when it begins: as many begin as the quota can carry to their end,
-/// and those that are refused are told at once, before anything was done for them.
+/// Load pattern: a flood. One workspace sends many times its usual load, mostly first requests of new
+/// programs. If requests were admitted in order of arrival, the first requests of all programs would exhaust
+/// the quota and the later requests of each would be refused, so that nearly every program would fail after
+/// work had been done for it. Therefore a program is charged the average number of requests per program of
+/// its workspace when it starts. Only as many programs start as the quota can carry to completion, and the
+/// others are refused immediately, before any work is done for them.
 #pragma once
 
 #include "masticcourse/gateway/quota/quota_terms.hpp"
@@ -15,16 +16,16 @@
 namespace masticcourse::gateway
 {
 
-/// What a request is to its program.
+/// How a request is classified for admission control.
 enum class admission_kind : std::uint8_t
 {
-    /// It begins a program.
+    /// The first request of a program.
     start,
-    /// It belongs to a program under way, or to none.
+    /// A request of a program in progress, or of no program.
     other,
 };
 
-/// Requests by what they are to their programs.
+/// Number of requests of each kind.
 struct request_counts
 {
     std::uint32_t starts = 0;
@@ -38,19 +39,20 @@
     friend bool operator==(const request_counts&, const request_counts&) = default;
 };
 
-/// What a gateway asks of a slice.
+/// What a gateway requests from a slice.
 struct slice_demand
 {
-    /// Requests that wait.
+    /// Requests that wait for a permit.
     request_counts waiting;
-    /// Further ones, of programs under way, that are expected within a portion's life.
+    /// Additional requests of programs in progress that are expected within the lifetime of a permit.
     std::uint32_t prefetch = 0;
 };
 
 struct slice_grant
 {
     request_counts granted;
-    /// Until the slice has room for one more of each kind; zero where all that waited was granted.
+    /// Time until the slice has capacity for one more request of that kind; zero if all waiting requests of
+    /// the kind were granted.
     milliseconds starts_retry_after{};
     milliseconds others_retry_after{};
 
@@ -62,15 +64,15 @@
     friend bool operator==(const slice_grant&, const slice_grant&) = default;
 };
 
-/// Tokens that come in at a steady rate and are saved up to a bound. It starts empty: a slice that changes
-/// hands must not hand out again what its holder before did.
+/// Token bucket with a steady refill rate and a bounded capacity. It starts empty: when a slice changes
+/// hands, the new holder must not grant again what the previous holder has already granted.
 class token_bucket
 {
   public:
     explicit token_bucket(time_point now) : m_updated(now) {}
 
     void refill(double rate, double capacity, time_point now);
-    /// The level may go below zero: a debt that is paid off first.
+    /// The level may become negative; the deficit is refilled first.
     void take(double tokens)
     {
         m_level -= tokens;
@@ -79,7 +81,7 @@
     {
         return m_level;
     }
-    /// @return how long until the level is @a tokens
+    /// @return the time until the level reaches @a tokens
     [[nodiscard]] milliseconds time_until(double tokens, double rate) const;
 
   private:
@@ -87,14 +89,14 @@
     time_point m_updated;
 };
 
-/// How many requests a program of a workspace sends on average, from what was granted lately.
+/// Average number of requests per program of a workspace, estimated from recent grants.
 class program_size_estimate
 {
   public:
     explicit program_size_estimate(time_point now) : m_updated(now) {}
 
     void record(const request_counts& granted, time_point now);
-    /// @return requests a program, its first one included
+    /// @return requests per program, including its first request
     [[nodiscard]] double average() const;
 
   private:
@@ -103,19 +105,19 @@
     time_point m_updated;
 };
 
-/// How new programs are let in.
+/// How new programs are admitted.
 enum class program_admission : std::uint8_t
 {
-    /// A program's first request is one like any other.
+    /// The first request of a program is charged like any other request.
     per_request,
-    /// It pays for the whole program.
+    /// A program is charged for its expected number of requests when it starts.
     prepaid,
 };
 
 class quota_slice
 {
   public:
-    /// @param since when the slice came to this gateway
+    /// @param acquired_at when this gateway became the holder of the slice
     explicit quota_slice(time_point acquired_at, program_admission policy = program_admission::prepaid)
         : m_policy(policy), m_acquired_at(acquired_at), m_request_tokens(acquired_at),
           m_start_tokens(acquired_at), m_program_size(acquired_at)
@@ -133,14 +135,14 @@
     [[nodiscard]] std::uint32_t grant_others(const slice_demand& demand, const slice_limits& limits);
     [[nodiscard]] std::uint32_t grant_starts(std::uint32_t waiting, const slice_limits& limits,
                                              time_point now);
-    /// @return what is kept for programs under way
+    /// @return the number of tokens reserved for programs in progress
     [[nodiscard]] double in_progress_reserve(const slice_limits& limits, time_point now) const;
     [[nodiscard]] milliseconds time_until_next_start(const slice_limits& limits, time_point now) const;
 
     program_admission m_policy;
     time_point m_acquired_at;
     token_bucket m_request_tokens;
-    /// What programs pay for when they begin.
+    /// Charged with the expected size of each program when it starts.
     token_bucket m_start_tokens;
     program_size_estimate m_program_size;
 };
--- a/src/gateway/access/access_control.cpp
+++ b/src/gateway/access/access_control.cpp
@@ -14,7 +14,7 @@
     {
         return {.outcome = access_outcome::granted, .owner = owner};
     }
-    // A request without a key is denied by every configuration.
+    // A request without a key is denied under every configuration.
     const bool certain = config_is_current || key.empty();
     return {.outcome = certain ? access_outcome::unknown_key : access_outcome::undecided};
 }
--- a/src/gateway/access/workspace_directory.cpp
+++ b/src/gateway/access/workspace_directory.cpp
@@ -13,11 +13,11 @@
     for (std::size_t n = 0; n < m_workspaces.size(); ++n)
     {
         const auto& it = m_workspaces[n];
-        assert(!it.name.empty() && "a workspace has a name");
+        assert(!it.name.empty() && "workspace name must not be empty");
         m_by_name.emplace(it.name, n);
         for (const auto& key : it.keys)
         {
-            assert(!key.empty() && "a key is not empty");
+            assert(!key.empty() && "access key must not be empty");
             m_by_key.emplace(key, n);
         }
     }
--- a/src/gateway/quota/quota_account.cpp
+++ b/src/gateway/quota/quota_account.cpp
@@ -11,7 +11,7 @@
 
 using real_seconds = std::chrono::duration<double>;
 
-/// How far back requests count for the rate at which they come, as a time constant.
+/// Time constant of the exponential average of the arrival rate.
 constexpr real_seconds demand_time_constant{1};
 
 std::size_t index_of(admission_kind kind)
--- a/src/gateway/quota/quota_messages.cpp
+++ b/src/gateway/quota/quota_messages.cpp
@@ -15,21 +15,21 @@
 using detail::encode_cbor;
 using nlohmann::json;
 
-/// @throws std::invalid_argument unless it is an array of that size
+/// @throws std::invalid_argument unless it is an array of the given size
 void require_array(const json& it, std::size_t size)
 {
     if (!it.is_array() || it.size() != size)
     {
-        throw std::invalid_argument("no such array");
+        throw std::invalid_argument("not an array of the expected size");
     }
 }
 
-/// @throws std::invalid_argument unless it is a count
+/// @throws std::invalid_argument unless it is an unsigned integer
 std::uint32_t to_count(const json& it)
 {
     if (!it.is_number_unsigned())
     {
-        throw std::invalid_argument("no count");
+        throw std::invalid_argument("not an unsigned integer");
     }
     return it.get<std::uint32_t>();
 }
--- a/src/gateway/quota/quota_slice.cpp
+++ b/src/gateway/quota/quota_slice.cpp
@@ -11,16 +11,17 @@
 
 using real_seconds = std::chrono::duration<double>;
 
-/// How far back programs count for the average size, as a time constant: longer than programs last, so that
-/// a flood of first requests does not make programs look small.
+/// Time constant of the average program size. It is longer than the duration of a program, so that a flood of
+/// first requests does not make programs appear small.
 constexpr real_seconds size_time_constant{15};
-/// What is believed before programs have been seen, and the number of programs that it counts as.
+/// Prior estimate used before any programs have been observed, and its weight as a number of programs.
 constexpr double prior_others = 8;
 constexpr double prior_weight = 2;
-/// Requests are granted ahead only from this share of the burst on: below it there are others who wait.
+/// Only tokens above this fraction of the burst are granted for prefetching; below it, other requests are
+/// waiting.
 constexpr double prefetch_min_fill = 0.5;
-/// Programs begin only from this share of the burst on: the rest is kept for those under way, which may need
-/// more than they paid for.
+/// Programs start only while the fill level is above this fraction of the burst. The rest is reserved for
+/// programs in progress, which may need more requests than they were charged for.
 constexpr double reserve_share = 0.25;
 
 } // namespace
@@ -67,7 +68,7 @@
 
 double quota_slice::in_progress_reserve(const slice_limits& limits, time_point now) const
 {
-    // A slice that changed hands lately can't have saved up more than this.
+    // Upper bound of the level of a slice that changed hands recently.
     const auto max_saved = std::min(limits.burst, limits.rate * real_seconds{now - m_acquired_at}.count());
     return m_policy == program_admission::prepaid ? max_saved * reserve_share : 0.0;
 }
@@ -95,7 +96,7 @@
     m_request_tokens.refill(limits.rate, limits.burst, now);
     m_start_tokens.refill(limits.rate, limits.burst, now);
     slice_grant result;
-    // Programs under way come first: work has been done for them.
+    // Programs in progress take priority because work has already been done for them.
     result.granted.others = grant_others(demand, limits);
     m_request_tokens.take(result.granted.others);
     result.granted.starts = grant_starts(demand.waiting.starts, limits, now);
--- a/src/gateway/quota/quota_terms.cpp
+++ b/src/gateway/quota/quota_terms.cpp
@@ -10,7 +10,8 @@
 
 using real_seconds = std::chrono::duration<double>;
 
-/// A shorter life would let most of what is drawn ahead lapse; a longer one takes as much from the burst.
+/// With a shorter lifetime most prefetched permits would expire unused; a longer lifetime reduces the burst
+/// accordingly.
 constexpr real_seconds min_permit_lifetime{0.1};
 constexpr real_seconds max_permit_lifetime{0.5};
 
--- a/src/gateway/quota/workspace_quotas.cpp
+++ b/src/gateway/quota/workspace_quotas.cpp
@@ -14,18 +14,20 @@
 namespace
 {
 
-/// Of what came lately, so much is asked for ahead.
+/// Permits are prefetched for the requests expected within this time span, estimated from recent demand.
 constexpr milliseconds prefetch_window{250};
-/// How long a holder that did not answer is left out.
+/// How long a holder that did not answer is excluded.
 constexpr milliseconds unresponsive_backoff{1'000};
-/// The same for one that does not hold the slice: it has just started and takes it, or another does.
+/// How long a gateway that does not hold the slice is excluded: either it has just started and is about to
+/// take the slice, or another gateway takes it.
 constexpr milliseconds not_holder_backoff{200};
-/// Between two looks for a holder while there is none.
+/// Interval between checks for a holder while there is none.
 constexpr milliseconds no_holder_poll_interval{100};
-/// When to come back if no holder could be asked: one that was killed is back by then, or another is asked.
+/// Retry-after value if no holder could be reached: by then a killed holder has restarted, or another holder
+/// is asked.
 constexpr milliseconds no_holder_retry_after{500};
-/// A slice without room is left alone for so long at least, and longer the more gateways may ask it: what its
-/// holder is asked in a flood does not grow with them.
+/// Minimum backoff for a slice without capacity. It grows with the number of gateways that may ask the slice,
+/// so that the load of a flood on the holder does not grow with them.
 constexpr milliseconds min_backoff{50};
 constexpr milliseconds backoff_per_gateway{2};
 
@@ -38,14 +40,14 @@
 
 std::size_t quota_bucket_of(const slice_id& slice)
 {
-    // Neighbouring buckets often have one holder: the slices of a workspace lie far from each other.
+    // Adjacent buckets often have the same holder, so the slices of a workspace are placed far apart.
     constexpr auto distance = quota_bucket_count / max_slices;
     return (hash_of(slice.workspace.value) + slice.index * distance) % quota_bucket_count;
 }
 
 ownership_terms quota_ownership_terms()
 {
-    // A slice starts empty, so the next life on a VM goes on with it at once.
+    // A slice starts empty, so the next process on the same VM can take it over immediately.
     return {.table = "quota",
             .buckets = quota_bucket_count,
             .inheritance_delay = seconds{0},
@@ -134,7 +136,7 @@
                       }
                       return permit.has_value();
                   });
-    // A request that goes on may draw again: the list of those who wait must be whole by then.
+    // Callbacks may acquire again, so they run only after the list of waiting requests is consistent.
     std::ranges::for_each(served, [](const auto& one) { one.first(one.second); });
 }
 
@@ -251,7 +253,7 @@
     m_excluded_until[holder] = m_awake_clock() + backoff;
     log_event(event_id::quota_holder_failed, {{"holder", holder},
                                               {"workspace", name.value},
-                                              {"why", responded ? "it does not hold the slice" : "no answer"},
+                                              {"why", responded ? "not the slice holder" : "no answer"},
                                               {"left_out_ms", std::to_string(backoff.count())}});
 }
 
@@ -277,13 +279,13 @@
     }
     else if (m_buckets.owns(quota_bucket_of(request.slice)))
     {
-        // Held here a moment ago, and given up since.
+        // This gateway held the slice when the request was made and has given it up since.
         it.backoffs.back_off(request.slice.index, admission_kind::start,
                              m_awake_clock() + not_holder_backoff);
         it.backoffs.back_off(request.slice.index, admission_kind::other,
                              m_awake_clock() + not_holder_backoff);
     }
-    // Those who go on may draw again, and must not ask meanwhile.
+    // Callbacks may acquire again and must not send another grant request meanwhile.
     it.request_in_flight = true;
     grant_waiting(it);
     it.request_in_flight = false;
@@ -375,7 +377,7 @@
     auto& slice = m_slices.try_emplace(request.slice, acquired_at, m_options.policy).first->second;
     if (slice.acquired_at() != acquired_at)
     {
-        // Another gateway has handed out from it meanwhile.
+        // Another gateway has granted permits from the slice in the meantime.
         slice = quota_slice{acquired_at, m_options.policy};
     }
     return slice.grant(request.demand, *limits, m_clock());
--- a/tests/support/quota_group.cpp
+++ b/tests/support/quota_group.cpp
@@ -12,7 +12,7 @@
 using gateway::milliseconds;
 using gateway::time_point;
 
-/// After that a gateway gives a message up.
+/// Time after which a gateway gives up waiting for an answer.
 constexpr milliseconds message_timeout{100};
 
 } // namespace
@@ -194,7 +194,7 @@
                       {
                           return;
                       }
-                      // A frozen gateway reads the message when it wakes.
+                      // A frozen gateway reads the message when it resumes.
                       auto* const holder = it->second.get();
                       delays_for (*holder)(
                           milliseconds{0},
--- a/tests/support/quota_group.hpp
+++ b/tests/support/quota_group.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Gateways of one site that share workspaces' quotas, in virtual time: messages take a while and are lost,
-/// gateways freeze, are cut off and start again.
+/// Simulation, in virtual time, of the gateways of one site that share workspace quotas. Messages are delayed
+/// and lost; gateways freeze, are partitioned and restart.
 #pragma once
 
 #include "support/memory_rows.hpp"
@@ -18,8 +18,8 @@
 namespace masticcourse::testing
 {
 
-/// @return whether over any span of the rule's window no more was sent than the rule allows
-/// @param sent in order of time
+/// @return whether no window of the rule contains more requests than the rule allows
+/// @param sent in chronological order
 [[nodiscard]] bool complies_with_rule(const std::vector<gateway::time_point>& sent,
                                       const gateway::request_quota& quota, const gateway::quota_rule& rule);
 
@@ -33,9 +33,9 @@
 
         quota_group& group;
         std::string address;
-        /// Set while it is frozen: nothing that is due happens before.
+        /// Timers that are due before this time run only then.
         gateway::time_point frozen_until{};
-        /// How long it has been frozen so far: its steady clock stands still meanwhile.
+        /// Total time it has been frozen; its steady clock stands still while it is frozen.
         gateway::duration frozen_total{};
         memory_store store;
         gateway::peer_directory peers;
@@ -43,30 +43,30 @@
         metrics_registry metrics;
         gateway::workspace_quotas quotas;
         double cores = 1;
-        /// No message of it arrives, and none comes to it.
+        /// Messages to and from this gateway are lost.
         bool partitioned = false;
         bool stopped = false;
     };
 
-    /// @param quotas by workspace; an empty one has no limit
+    /// @param quotas by workspace name
     quota_group(std::size_t count, const std::map<std::string, gateway::request_quota>& quotas,
                 gateway::program_admission policy = gateway::program_admission::prepaid,
                 gateway::milliseconds settle_time = gateway::seconds{20});
 
-    /// Starts a life on a VM; one that ran there is dead from then on.
+    /// Starts a gateway process on a VM and stops the process that ran there before, if any.
     void start(const std::string& address, double cores = 1);
-    /// Ends the life on a VM, if there is one.
+    /// Stops the gateway process on a VM, if any.
     void stop(const std::string& address);
     void freeze(const std::string& address, gateway::milliseconds span);
     void set_quotas(const std::map<std::string, gateway::request_quota>& quotas);
 
-    /// A request comes to a gateway; it is sent as soon as a permit is there, if that is still valid after
-    /// @a work.
+    /// Simulates a request that arrives at a gateway. It is sent @a preparation after it got a permit, if the
+    /// permit is still valid then.
     void request(const std::string& address, const std::string& workspace,
                  gateway::admission_kind kind = gateway::admission_kind::other,
                  gateway::milliseconds preparation = {});
 
-    /// @return the gateways, dead ones left out
+    /// @return the addresses of all running gateways
     [[nodiscard]] std::vector<std::string> addresses() const;
     [[nodiscard]] member& at(const std::string& address)
     {
@@ -76,12 +76,12 @@
     virtual_time time;
     row_table rows;
     gateway::quota_rule rule{.window = gateway::seconds{5}, .overage = 0.1, .slack = 20};
-    /// Of a message between gateways, one way.
+    /// One-way delay of a message between gateways.
     gateway::milliseconds one_way_delay{1};
-    /// Every so manyth message is lost; 0 loses none.
+    /// Drops every n-th message; 0 drops none.
     std::size_t drop_every = 0;
     std::size_t messages = 0;
-    /// When requests of a workspace were sent.
+    /// When requests were sent, by workspace.
     std::map<std::string, std::vector<gateway::time_point>> sent;
     std::map<std::string, std::vector<gateway::quota_refusal>> refused;
 
@@ -89,14 +89,14 @@
     void call(const std::string& from, const std::string& to, const std::string& bytes,
               const gateway::peer_callback& on_answer);
     [[nodiscard]] bool drops_message();
-    /// Members are never moved or destroyed before the group is.
+    /// Members are never moved, nor destroyed before the group.
     [[nodiscard]] gateway::delay_function delays_for(const member& it);
     void update_peers();
 
     gateway::program_admission m_policy;
     gateway::config_ptr m_config;
     std::map<std::string, std::unique_ptr<member>> m_members;
-    /// Their timers are still planned: they stay, unreachable.
+    /// Stopped members stay allocated because timers still refer to them.
     std::vector<std::unique_ptr<member>> m_stopped;
     std::size_t m_incarnations = 0;
     config_version m_version = 0;
--- a/tests/unit/test_gateway_access.cpp
+++ b/tests/unit/test_gateway_access.cpp
@@ -1,4 +1,4 @@
-// Who may send what: keys, workspaces, and that what belongs to one is never another's.
+// Access control: keys, workspaces, and isolation between workspaces.
 #include "support/forwarding_world.hpp"
 
 #include "masticcourse/gateway/access/access_control.hpp"
@@ -25,7 +25,7 @@
     return config;
 }
 
-/// A world in which two workspaces have keys.
+/// Fixture with two workspaces that have keys.
 struct keyed_world : forwarding_fixture
 {
     keyed_world()
@@ -79,7 +79,7 @@
         row{closed, "a1", true, access_outcome::granted, "alpha"},
         row{closed, "a2", false, access_outcome::granted, "alpha"},
         row{closed, "b1", true, access_outcome::granted, "beta"},
-        row{closed, "x", true, access_outcome::unknown_key, ""}, // A newer configuration may hold it.
+        row{closed, "x", true, access_outcome::unknown_key, ""}, // A newer configuration may contain the key.
         row{closed, "x", false, access_outcome::undecided, ""},
         row{closed, "", false, access_outcome::unknown_key, ""},
         row{open, "", true, access_outcome::open, ""},
@@ -117,13 +117,13 @@
 {
     keyed_world world;
     CHECK(world.run_turn("a1", "t-1")->ended);
-    // The other key of the workspace goes on from it.
+    // The other key of the same workspace continues the program.
     CHECK(world.run_turn("a2", "t-2", "t-1")->ended);
     CHECK(world.last()->request.body == "body of t-1;e of t-1\nbody of t-2;");
     const auto forged = world.send(world.make_keyed_turn("b1", "t-3", "t-1"));
     world.time.run(200ms);
     CHECK(body_of(*forged) == "no_such_turn");
-    // The same ids in another workspace are other turns of another program.
+    // In another workspace the same ids refer to other turns of another program.
     CHECK(world.run_turn("b1", "t-1")->ended);
     CHECK(world.run_turn("b1", "t-4", "t-1")->ended);
     CHECK(world.last()->request.body == "body of t-1;e of t-1\nbody of t-4;");
@@ -178,7 +178,7 @@
     keyed_world world;
     SUBCASE("lapsed")
     {
-        // Its budget holds just this turn, so it waits until the reservation is written.
+        // The budget covers only this turn, so the request waits until the reservation has been written.
         world.store.latency = 1'500ms;
         auto tight = world.make_turn_request("t-1", "", 100);
         tight.access_key = "b1";
--- a/tests/unit/test_gateway_quota.cpp
+++ b/tests/unit/test_gateway_quota.cpp
@@ -1,5 +1,5 @@
-// Quotas of workspaces over all gateways: never more than the rule allows over any span of its window,
-// whatever fails, and little less; and who is served when a workspace floods.
+// Workspace quotas across gateways: no window exceeds what the rule allows, whatever fails, and little less
+// than that is admitted; also which requests are admitted when a workspace floods.
 #include "support/forwarding_world.hpp"
 #include "support/quota_group.hpp"
 
@@ -24,7 +24,7 @@
 
 constexpr quota_rule default_rule{.window = 5s, .overage = 0.1, .slack = 20};
 
-/// Sends @a rate requests a second for @a span, spread evenly over the gateways named.
+/// Sends @a rate requests per second for @a span, distributed evenly over the gateways in @a at.
 void send_load(quota_group& group, const std::vector<std::string>& at, const std::string& workspace,
                double rate, seconds span, admission_kind kind = admission_kind::other)
 {
@@ -39,7 +39,7 @@
     }
 }
 
-/// Through how many of the gateways a workspace's callers come.
+/// Number of gateways, and how many of them the callers of a workspace use.
 struct ingress
 {
     std::size_t gateways;
@@ -82,7 +82,7 @@
         const auto most = count * (limits.rate * (window + lifetime) + limits.burst);
         const auto allowed =
             (it.quota.rate * window + it.quota.burst) * (1 + it.rule.overage) + it.rule.slack;
-        // Less than one request at once can't be handed out.
+        // A limit below one request at a time can't be applied.
         CHECK(most <= std::max(allowed, 1.0) + 1e-9);
         CHECK(count * limits.rate <= it.quota.rate + 1e-9);
     }
@@ -123,7 +123,7 @@
     time_point now{1'000s};
     quota_slice slice{now};
     now += 60s;
-    // Programs of ten requests each, for a while.
+    // Establishes an average of ten requests per program.
     for (int n = 0; n < 200; ++n)
     {
         now += 200ms;
@@ -134,7 +134,7 @@
     CHECK(flood.granted.starts >= 8);
     CHECK(flood.granted.starts <= 12);
     CHECK(flood.starts_retry_after > 0ms);
-    // Their later requests are all served, whatever else comes.
+    // Their later requests are all granted, whatever else arrives.
     const auto later = slice.grant(demand_of(1'000, 80), limits, now + 100ms);
     CHECK(later.granted.others == 80);
     CHECK(later.granted.starts <= 1);
@@ -207,18 +207,19 @@
         send_load(group, at, "w", 200, 20s);
         const auto sent = group.sent["w"].size();
         CHECK(complies_with_rule(group.sent["w"], {40, 40}, default_rule));
-        // An exact counter lets 40 * 20 + 40 through.
+        // An exact counter would admit 40 * 20 + 40 requests.
         CHECK(static_cast<double>(sent) >= 0.9 * 840);
         CHECK(std::ranges::all_of(group.refused["w"],
                                   [](const auto& one) { return one.used_up && one.retry_after > 0ms; }));
-        // Another workspace is not touched.
+        // Other workspaces are not affected.
         send_load(group, at, "other", 25, 2s);
         group.time.run(1s);
         CHECK(group.sent["other"].size() == 50);
     }
 }
 
-// Load pattern: a flood of one workspace comes in through all gateways, and at each some wait for room.
+// Load pattern: a flood of one workspace arrives through all gateways, with requests waiting for capacity on
+// each.
 TEST_CASE("what a flood asks of the holders does not grow with the gateways that it comes through")
 {
     for (const std::size_t gateways : {10U, 100U, 400U})
@@ -229,13 +230,13 @@
         send_load(group, at, "w", 400, 2s);
         const auto before = group.messages;
         send_load(group, at, "w", 400, 10s);
-        // Four slices, each asked five hundred times a second.
+        // Four slices, each asked at most 500 times per second.
         CHECK(group.messages - before <= 4 * 500 * 10);
         CHECK(complies_with_rule(group.sent["w"], {40, 40}, default_rule));
     }
 }
 
-// Load pattern: a burst at VMs with little processor time, which have enough to do with their own callers.
+// Load pattern: a burst on VMs with little CPU capacity, which need it for their own callers.
 TEST_CASE("VMs with little processor time hold no slices while there are others")
 {
     constexpr double little = 0.09;
@@ -292,11 +293,11 @@
     send_load(group, at, "w", 25, 4s);
     group.time.run(1s);
     CHECK(group.sent["w"].size() == 100);
-    // One that is gone for good leaves its slice to another.
+    // If a holder has failed permanently, another gateway takes over its slice.
     group.time.run(60s);
     if (!group.at(at[0]).buckets.holder_of(quota_bucket_of({{"w"}, 0})))
     {
-        FAIL("nobody holds the slice");
+        FAIL("no gateway holds the slice");
     }
 }
 
@@ -377,7 +378,7 @@
     group.request("g0", "w", admission_kind::other, 100ms);
     group.time.run(2s);
     CHECK(group.sent["w"].size() == 1);
-    // Nor is what was drawn ahead.
+    // Prefetched permits expire as well.
     constexpr time_point now{1'000s};
     permit_pool permits;
     permits.add(5, now + 500ms);
@@ -385,12 +386,12 @@
     CHECK_FALSE(permits.take(now + 500ms));
 }
 
-// Load pattern: a program calls many tools at once, more than its workspace has saved up.
+// Load pattern: a program calls many tools at once, more than the burst that its workspace has accumulated.
 TEST_CASE("a burst of a program under way waits for room, a new program is told at once when to come back")
 {
     quota_group group(6, {{"w", {40, 40}}});
     const auto at = group.addresses();
-    // What is saved up is used up.
+    // Exhausts the accumulated burst.
     send_load(group, at, "w", 200, 2s);
     group.time.run(1'500ms);
     group.sent["w"].clear();
@@ -402,7 +403,7 @@
     group.time.run(2s);
     CHECK(group.sent["w"].size() >= 28);
     CHECK(group.refused["w"].empty());
-    // New programs are begun or refused before anybody would notice a wait.
+    // The first requests of programs are admitted or refused without a noticeable wait.
     group.sent["w"].clear();
     for (int n = 0; n < 200; ++n)
     {
@@ -413,13 +414,13 @@
     CHECK_FALSE(group.refused["w"].empty());
     group.refused["w"].clear();
     group.time.run(2s);
-    // Nobody waits for what can't come in time.
+    // Requests that can't be served in time are refused immediately.
     for (int n = 0; n < 1'000; ++n)
     {
         group.request(at[0], "w");
     }
     group.time.run(50ms);
-    // What is saved up goes on, and a second's rate waits.
+    // The accumulated burst is admitted, and one second's worth of requests waits.
     CHECK(group.refused["w"].size() >= 1'000 - 64 - 40 - 1);
     CHECK(complies_with_rule(group.sent["w"], {40, 40}, default_rule));
 }
@@ -434,7 +435,7 @@
     group.time.run(200ms);
     send_load(group, group.addresses(), "w", 25, 2s);
     group.time.run(1s);
-    // They start from nothing, so a few are refused that come before there is room.
+    // The slices start empty, so a few requests are refused that arrive before there is capacity.
     CHECK(group.sent["w"].size() >= 45);
 }
 
