--- a/include/masticcourse/gateway/collected_rows.hpp
+++ b/include/masticcourse/gateway/collected_rows.hpp
@@ -34,7 +34,7 @@
   public:
     /// @param own  what this gateway remembers of the partitions that it collects
     /// @param call asks a collector for the rows of an encoded query
-    collected_rows(row_store& store, const row_cache& own, peer_directory& peers, peer_call call,
+    collected_rows(row_store& store, const row_cache& local_cache, peer_directory& peers, peer_call call,
                    std::function<time_point()> clock);
 
     void transact(const row_transaction& transaction, transaction_callback on_reply) override;
@@ -49,15 +49,15 @@
 
     /// Answers a peer's query from the own memory.
     /// @return encoded rows, none if none is remembered; nothing if the message can't be read
-    [[nodiscard]] std::optional<std::string> recall(const std::string& bytes) const;
+    [[nodiscard]] std::optional<std::string> read_cached(const std::string& bytes) const;
 
   private:
-    [[nodiscard]] std::vector<stored_row> remembered(const row_query& query) const;
+    [[nodiscard]] std::vector<stored_row> find_cached(const row_query& query) const;
     /// Hands out @a rows, or asks the store if the first of the range is not among them.
-    void answer(const row_query& query, std::vector<stored_row> rows, query_callback on_reply);
+    void reply_or_query_store(const row_query& query, std::vector<stored_row> rows, query_callback on_reply);
 
     row_store& m_store;
-    const row_cache& m_own;
+    const row_cache& m_local_cache;
     peer_directory& m_peers;
     peer_call m_call;
     std::function<time_point()> m_clock;
--- a/include/masticcourse/gateway/commit_queue.hpp
+++ b/include/masticcourse/gateway/commit_queue.hpp
@@ -71,7 +71,7 @@
     /// @param memory_bytes for rows as they were last written or read: versions only grow, so a condition on
     /// an older one is known to fail, and other gateways read from it
     commit_queue(row_store& store, delay_function delay, clock_function clock,
-                 std::size_t memory_bytes = default_memory);
+                 std::size_t cache_bytes = default_cache_bytes);
 
     void submit(const std::string& partition, row_change change, change_callback on_result) override;
 
@@ -80,14 +80,14 @@
         return m_pending;
     }
 
-    [[nodiscard]] const row_cache& memory() const
+    [[nodiscard]] const row_cache& cached_rows() const
     {
-        return m_memory;
+        return m_cached_rows;
     }
 
   private:
     /// Those of a few thousand programs, some hundred bytes each.
-    static constexpr std::size_t default_memory = 2'000'000;
+    static constexpr std::size_t default_cache_bytes = 2'000'000;
 
     struct item
     {
@@ -99,7 +99,7 @@
     {
         item_list waiting;
         /// Transactions under way, and pauses after a failure.
-        int busy = 0;
+        int occupied_slots = 0;
         /// Failures in a row, for the pause before the next try.
         std::uint32_t failures = 0;
         /// Rows that transactions under way write. A change of one of them waits: its condition would fail,
@@ -107,15 +107,15 @@
         std::set<row_name> being_written;
     };
 
-    void pump(const std::string& partition);
+    void send_next_batch(const std::string& partition);
     [[nodiscard]] static item_list take_batch(partition_queue& queue);
-    void give_up_expired(partition_queue& queue);
+    void fail_expired(partition_queue& queue);
     /// Tells changes whose condition is known to fail at once, without a transaction.
-    void refuse_outdated(partition_queue& queue);
-    void remember(const item_list& written, row_version version);
-    void finish(const std::string& partition, item_list batch, const transaction_reply& reply);
-    void settle_conflicts(item_list& batch, const transaction_reply& reply);
-    void put_back(partition_queue& queue, item_list batch);
+    void reject_stale(partition_queue& queue);
+    void cache_rows(const item_list& written, row_version version);
+    void on_reply(const std::string& partition, item_list batch, const transaction_reply& reply);
+    void resolve_conflicts(item_list& batch, const transaction_reply& reply);
+    void requeue(partition_queue& queue, item_list batch);
     void retry_later(const std::string& partition, partition_queue& queue);
     void resolve(item& it, const change_result& result);
 
@@ -123,7 +123,7 @@
     delay_function m_delay;
     clock_function m_clock;
     std::unordered_map<std::string, partition_queue> m_queues;
-    row_cache m_memory;
+    row_cache m_cached_rows;
     std::size_t m_pending = 0;
     std::minstd_rand m_random{std::random_device{}()};
 };
--- a/include/masticcourse/gateway/commit_router.hpp
+++ b/include/masticcourse/gateway/commit_router.hpp
@@ -50,7 +50,7 @@
     /// The changes were taken; their results are known.
     collected,
     /// The collector can't reach the store itself: it took nothing.
-    lacks_store,
+    store_unreachable,
     /// No answer, or none that can be read: what was done is not known.
     no_answer,
 };
@@ -62,7 +62,7 @@
     /// Encoded results; empty unless collected.
     std::string results;
     /// How long the collector has lacked the store.
-    milliseconds lacked_for{};
+    milliseconds unreachable_for{};
 };
 
 using collector_callback = std::function<void(const collector_answer&)>;
@@ -91,7 +91,7 @@
         routed_change change;
         change_callback on_result;
         /// Collectors that it was sent to and that did not answer.
-        int silences = 0;
+        int unanswered_sends = 0;
         /// Collectors that lacked the store, since it was last held.
         int refusals = 0;
     };
@@ -99,28 +99,28 @@
     struct outbox
     {
         item_list waiting;
-        int under_way = 0;
+        int in_flight = 0;
     };
 
     /// Sends changes to their collectors, those of one collector together, and writes what is this gateway's.
     void route(item_list items);
     /// Puts a change into its collector's outbox, writes it, or holds it.
     /// @return the collector, if it is in an outbox now
-    std::optional<std::string> place(item it);
+    std::optional<std::string> dispatch(item it);
     void send(const std::string& collector);
     /// Keeps a change until it may be tried again.
-    void hold(item it);
-    void release_later();
-    void release_held();
+    void defer(item it);
+    void schedule_retry();
+    void retry_deferred();
     /// A collector lacks the store: its changes go to the next in rank, or wait if several lack it.
-    void try_next(item_list refused);
+    void route_refused(item_list refused);
     /// Finds another way for what waits for a collector that does not answer.
     void reroute(const std::string& collector);
     void on_answer(const std::string& collector, item_list sent, const collector_answer& answer);
     void on_results(item_list sent, const std::vector<change_result>& results);
     /// The collector did not do its work; @a answer says why.
     void on_failure(const std::string& collector, item_list sent, const collector_answer& answer);
-    void send_again(item it);
+    void resend_later(item it);
 
     commit_sink& m_own;
     const row_store& m_store;
@@ -130,10 +130,10 @@
     clock_function m_clock;
     std::unordered_map<std::string, outbox> m_outboxes;
     /// What waits until it may be tried again; in the order in which it came.
-    item_list m_held;
-    bool m_release_planned = false;
+    item_list m_deferred;
+    bool m_retry_scheduled = false;
     /// Until what is held is tried again; longer with each time that it was in vain.
-    milliseconds m_hold_pause{};
+    milliseconds m_retry_delay{};
     bool m_was_unreachable = false;
     std::size_t m_forwarded = 0;
 };
--- a/include/masticcourse/gateway/peer_directory.hpp
+++ b/include/masticcourse/gateway/peer_directory.hpp
@@ -45,19 +45,19 @@
 
     /// @return how many gateways have the processor time to do work for others, this one included if it is
     /// one of them; all of them if none has
-    [[nodiscard]] std::size_t helpers() const;
+    [[nodiscard]] std::size_t eligible_gateways() const;
     /// Whether this gateway is one of them.
-    [[nodiscard]] bool is_helper() const;
+    [[nodiscard]] bool is_eligible() const;
 
     /// Paces what every gateway does at one place, so that the load there does not grow with their number.
     /// @param least       the period on a small site
     /// @param per_gateway the part of the period that each gateway gets for itself
     /// @return how often each of them may do it
-    [[nodiscard]] milliseconds period(milliseconds least, milliseconds per_gateway) const;
+    [[nodiscard]] milliseconds scaled_interval(milliseconds minimum, milliseconds per_gateway) const;
 
     /// @param preferred comes first if it is among them
     /// @return other gateways that answered when last asked, in random order, at most @a most
-    [[nodiscard]] std::vector<std::string> choose(std::size_t most, time_point now,
+    [[nodiscard]] std::vector<std::string> choose(std::size_t max_count, time_point now,
                                                   std::string_view preferred = {});
 
     /// Every gateway that knows the same peers names the same one, by weighted rendezvous hashing. They need
@@ -66,45 +66,45 @@
     /// does
     /// @return the gateway that collects the commits of @a partition, or nothing if it is this one
     [[nodiscard]] std::optional<std::string> collector_of(std::string_view partition, time_point now,
-                                                          bool self_lacks_store = false) const;
+                                                          bool self_store_unreachable = false) const;
 
     /// The same, whether it reaches the store or not: it remembers what it has written.
-    [[nodiscard]] std::optional<std::string> last_collector_of(std::string_view partition,
-                                                               time_point now) const;
+    [[nodiscard]] std::optional<std::string> collector_ignoring_store(std::string_view partition,
+                                                                      time_point now) const;
 
     void answered(const std::string& address);
     /// It did not answer: it is left out for a while, longer with each failure in a row.
     void failed(const std::string& address, time_point now);
     /// It is being asked after a pause: until it answers, it is left out for others.
-    void on_trial(const std::string& address, time_point now);
+    void start_probe(const std::string& address, time_point now);
     /// It answered that it can't reach the store itself: it is left out for a short while, longer if it has
     /// lacked the store for long.
-    void lacks_store(const std::string& address, time_point now, duration lacked_for = {});
+    void mark_store_unreachable(const std::string& address, time_point now, duration unreachable_for = {});
     /// The store is back for this gateway, and probably for those that lacked it too.
-    void forget_storeless();
+    void clear_store_unreachable();
 
   private:
-    [[nodiscard]] std::size_t strong_gateways() const;
+    [[nodiscard]] std::size_t gateways_with_min_cores() const;
 
-    struct avoidance
+    struct exclusion
     {
         /// Silences in a row.
         std::uint32_t failures = 0;
         time_point silent_until{};
-        time_point storeless_until{};
+        time_point store_excluded_until{};
     };
 
     /// Whether it did not answer lately.
     [[nodiscard]] bool silent(const std::string& address, time_point now) const;
     /// Whether it did not answer lately, or lacked the store.
-    [[nodiscard]] bool avoided(const std::string& address, time_point now) const;
-    template <typename Avoided>
-    [[nodiscard]] std::optional<std::string> best_for(std::string_view partition, Avoided is_avoided,
-                                                      bool self_avoided) const;
+    [[nodiscard]] bool excluded(const std::string& address, time_point now) const;
+    template <typename Predicate>
+    [[nodiscard]] std::optional<std::string> highest_ranked(std::string_view partition, Predicate skip,
+                                                            bool rank_self_last) const;
 
     peer m_self;
     std::vector<peer> m_others;
-    std::unordered_map<std::string, avoidance> m_avoided;
+    std::unordered_map<std::string, exclusion> m_exclusions;
     std::minstd_rand m_random{std::random_device{}()};
 };
 
--- a/include/masticcourse/gateway/peer_list.hpp
+++ b/include/masticcourse/gateway/peer_list.hpp
@@ -35,7 +35,7 @@
 
     void announce();
     void read_peers();
-    void take_peers(const std::vector<stored_row>& rows);
+    void update_peers(const std::vector<stored_row>& rows);
 
     row_store& m_store;
     peer_directory& m_peers;
@@ -43,7 +43,7 @@
     peer m_self;
     delay_function m_delay;
     clock_function m_clock;
-    std::unordered_map<std::string, last_change> m_changes;
+    std::unordered_map<std::string, last_change> m_last_changes;
     bool m_leaving = false;
 };
 
--- a/include/masticcourse/gateway/turn_store.hpp
+++ b/include/masticcourse/gateway/turn_store.hpp
@@ -39,7 +39,7 @@
 /// @return the record in pieces that each fit a row
 [[nodiscard]] std::vector<std::string> encode_turn(const turn_record& turn, std::size_t row_bytes);
 /// @return nothing if the pieces are no whole record
-[[nodiscard]] std::optional<turn_record> decode_turn(const std::vector<std::string>& pieces);
+[[nodiscard]] std::optional<turn_record> decode_turn(const std::vector<std::string>& chunks);
 
 /// Records by id, the least recently used given up first.
 class turn_cache
@@ -95,7 +95,7 @@
 
 using chain_callback = std::function<void(turn_chain)>;
 /// Tells whether a turn is durable.
-using kept_callback = std::function<void(bool)>;
+using save_callback = std::function<void(bool)>;
 
 class turn_store
 {
@@ -107,7 +107,7 @@
     void load_chain(const request_id& last, chain_callback on_chain);
 
     /// Makes a turn durable; tried until @a expires.
-    void keep(const request_id& id, turn_record turn, time_point expires, kept_callback on_kept);
+    void save(const request_id& id, turn_record turn, time_point expires, save_callback on_saved);
 
   private:
     struct chain_load;
--- a/src/gateway/bucket_ownership.cpp
+++ b/src/gateway/bucket_ownership.cpp
@@ -118,7 +118,7 @@
 
 milliseconds bucket_ownership::scaled_interval(milliseconds min_interval) const
 {
-    return m_peers.period(min_interval, interval_per_gateway);
+    return m_peers.scaled_interval(min_interval, interval_per_gateway);
 }
 
 milliseconds bucket_ownership::random_delay(milliseconds min_delay, milliseconds max_delay)
@@ -271,8 +271,8 @@
 std::size_t bucket_ownership::fair_share() const
 {
     // Requests wait for the holder's answer, so only VMs with enough processor time hold buckets.
-    const auto helpers = m_peers.helpers();
-    return m_peers.is_helper() ? (m_terms.buckets + helpers - 1) / helpers : 0;
+    const auto helpers = m_peers.eligible_gateways();
+    return m_peers.is_eligible() ? (m_terms.buckets + helpers - 1) / helpers : 0;
 }
 
 bool bucket_ownership::inherits(const gateway_incarnation& holder) const
--- a/src/gateway/collected_rows.cpp
+++ b/src/gateway/collected_rows.cpp
@@ -5,9 +5,10 @@
 namespace masticcourse::gateway
 {
 
-collected_rows::collected_rows(row_store& store, const row_cache& own, peer_directory& peers, peer_call call,
-                               std::function<time_point()> clock)
-    : m_store(store), m_own(own), m_peers(peers), m_call(std::move(call)), m_clock(std::move(clock))
+collected_rows::collected_rows(row_store& store, const row_cache& local_cache, peer_directory& peers,
+                               peer_call call, std::function<time_point()> clock)
+    : m_store(store), m_local_cache(local_cache), m_peers(peers), m_call(std::move(call)),
+      m_clock(std::move(clock))
 {
 }
 
@@ -26,10 +27,10 @@
     // Without the store there are no newer rows than those that the last collector remembers.
     const auto now = m_clock();
     const auto collector = m_store.reachable() ? m_peers.collector_of(query.partition, now)
-                                               : m_peers.last_collector_of(query.partition, now);
+                                               : m_peers.collector_ignoring_store(query.partition, now);
     if (!collector)
     {
-        answer(query, remembered(query), std::move(on_reply));
+        reply_or_query_store(query, find_cached(query), std::move(on_reply));
         return;
     }
     m_call(*collector, encode_query(query),
@@ -38,11 +39,13 @@
                // Silence is no reason to leave the collector out: the store is asked then, and a gateway too
                // slow for this may still write commits in time.
                auto rows = bytes ? decode_rows(*bytes) : std::nullopt;
-               answer(query, std::move(rows).value_or(std::vector<stored_row>{}), std::move(on_reply));
+               reply_or_query_store(query, std::move(rows).value_or(std::vector<stored_row>{}),
+                                    std::move(on_reply));
            });
 }
 
-void collected_rows::answer(const row_query& query, std::vector<stored_row> rows, query_callback on_reply)
+void collected_rows::reply_or_query_store(const row_query& query, std::vector<stored_row> rows,
+                                          query_callback on_reply)
 {
     // Other rows of the range say nothing of the first one: its key may be just the beginning of theirs.
     if (rows.empty() || rows.front().name.key != query.from)
@@ -74,15 +77,15 @@
     return m_store.time_since_failure();
 }
 
-std::vector<stored_row> collected_rows::remembered(const row_query& query) const
+std::vector<stored_row> collected_rows::find_cached(const row_query& query) const
 {
-    return m_own.range(query.table, query.from, query.to);
+    return m_local_cache.range(query.table, query.from, query.to);
 }
 
-std::optional<std::string> collected_rows::recall(const std::string& bytes) const
+std::optional<std::string> collected_rows::read_cached(const std::string& bytes) const
 {
     const auto query = decode_query(bytes);
-    return query ? std::optional{encode_rows(remembered(*query))} : std::nullopt;
+    return query ? std::optional{encode_rows(find_cached(*query))} : std::nullopt;
 }
 
 } // namespace masticcourse::gateway
--- a/src/gateway/commit_codec.cpp
+++ b/src/gateway/commit_codec.cpp
@@ -53,10 +53,10 @@
                               puts.push_back(json::array({to_json(put.name), to_json(put.value)}));
                           });
     const auto& condition = it.change.condition;
-    const auto life = std::chrono::floor<milliseconds>(it.change.expires - now).count();
+    const auto lifetime_ms = std::chrono::floor<milliseconds>(it.change.expires - now).count();
     return json::array({it.partition,
                         condition ? json::array({to_json(condition->name), condition->version}) : json{},
-                        std::move(puts), life});
+                        std::move(puts), lifetime_ms});
 }
 
 routed_change to_change(const json& it, time_point now)
--- a/src/gateway/commit_queue.cpp
+++ b/src/gateway/commit_queue.cpp
@@ -11,16 +11,16 @@
 {
 
 /// Transactions of one partition under way: the second is on its way while the store works on the first.
-constexpr int most_under_way = 2;
+constexpr int max_in_flight = 2;
 /// Rows and conditions of one transaction, below the 100 that the store takes.
-constexpr std::size_t most_entries = 90;
+constexpr std::size_t max_batch_entries = 90;
 /// Bytes of one transaction; the store takes 1 MB, and base64 makes four bytes of three.
-constexpr std::size_t most_bytes = 600'000;
+constexpr std::size_t max_batch_bytes = 600'000;
 /// The pause after a failure, doubled with each further one up to the longest: short enough that a turn ends
 /// within a few tens of milliseconds of the store's return, long enough that all gateways together stay far
 /// below the store's rate while it refuses.
-constexpr milliseconds first_pause{25};
-constexpr milliseconds longest_pause{200};
+constexpr milliseconds initial_backoff{25};
+constexpr milliseconds max_backoff{200};
 
 std::size_t entries_of(const row_change& change)
 {
@@ -41,7 +41,7 @@
 }
 
 /// @return whether @a change writes one of @a rows
-bool touches(const row_change& change, const std::set<row_name>& rows)
+bool writes_any(const row_change& change, const std::set<row_name>& rows)
 {
     return std::ranges::any_of(change.puts, [&rows](const row_put& it) { return rows.contains(it.name); });
 }
@@ -68,8 +68,8 @@
 } // namespace
 
 commit_queue::commit_queue(row_store& store, delay_function delay, clock_function clock,
-                           std::size_t memory_bytes)
-    : m_store(store), m_delay(std::move(delay)), m_clock(std::move(clock)), m_memory(memory_bytes)
+                           std::size_t cache_bytes)
+    : m_store(store), m_delay(std::move(delay)), m_clock(std::move(clock)), m_cached_rows(cache_bytes)
 {
 }
 
@@ -77,18 +77,18 @@
 {
     ++m_pending;
     m_queues[partition].waiting.push_back({std::move(change), std::move(on_result)});
-    pump(partition);
+    send_next_batch(partition);
 }
 
-void commit_queue::pump(const std::string& partition)
+void commit_queue::send_next_batch(const std::string& partition)
 {
     auto& queue = m_queues[partition];
-    if (queue.busy >= most_under_way)
+    if (queue.occupied_slots >= max_in_flight)
     {
         return;
     }
-    give_up_expired(queue);
-    refuse_outdated(queue);
+    fail_expired(queue);
+    reject_stale(queue);
     if (queue.waiting.empty())
     {
         return;
@@ -98,29 +98,29 @@
     {
         return;
     }
-    ++queue.busy;
+    ++queue.occupied_slots;
     auto transaction = to_transaction(partition, batch->front().change);
     std::for_each(std::next(batch->begin()), batch->end(),
                   [&transaction](const item& it) { append(transaction, it.change); });
     m_store.transact(transaction, [this, partition, batch](const transaction_reply& reply)
-                     { finish(partition, std::move(*batch), reply); });
+                     { on_reply(partition, std::move(*batch), reply); });
 }
 
 commit_queue::item_list commit_queue::take_batch(partition_queue& queue)
 {
     item_list batch;
-    item_list left;
+    item_list remaining;
     std::size_t entries = 0;
     std::size_t bytes = 0;
     for (auto& it : queue.waiting)
     {
-        const bool full =
-            entries + entries_of(it.change) > most_entries || bytes + bytes_of(it.change) > most_bytes;
+        const bool full = entries + entries_of(it.change) > max_batch_entries ||
+                          bytes + bytes_of(it.change) > max_batch_bytes;
         // Two changes of one row never share a transaction: both conditions would hold, and the later would
         // undo the earlier.
-        if ((full && !batch.empty()) || touches(it.change, queue.being_written))
+        if ((full && !batch.empty()) || writes_any(it.change, queue.being_written))
         {
-            left.push_back(std::move(it));
+            remaining.push_back(std::move(it));
             continue;
         }
         entries += entries_of(it.change);
@@ -129,30 +129,30 @@
                               [&queue](const row_put& put) { queue.being_written.insert(put.name); });
         batch.push_back(std::move(it));
     }
-    queue.waiting = std::move(left);
+    queue.waiting = std::move(remaining);
     return batch;
 }
 
-void commit_queue::refuse_outdated(partition_queue& queue)
+void commit_queue::reject_stale(partition_queue& queue)
 {
-    item_list outdated;
-    item_list left;
+    item_list stale;
+    item_list remaining;
     for (auto& it : queue.waiting)
     {
         const auto& condition = it.change.condition;
-        const auto* const row = condition ? m_memory.find(condition->name) : nullptr;
+        const auto* const row = condition ? m_cached_rows.find(condition->name) : nullptr;
         const bool fails = row != nullptr && row->version > condition->version;
-        (fails ? outdated : left).push_back(std::move(it));
+        (fails ? stale : remaining).push_back(std::move(it));
     }
-    queue.waiting = std::move(left);
-    for (auto& it : outdated)
+    queue.waiting = std::move(remaining);
+    for (auto& it : stale)
     {
-        const auto current = *m_memory.find(it.change.condition->name);
+        const auto current = *m_cached_rows.find(it.change.condition->name);
         resolve(it, {.outcome = store_outcome::conflict, .current = current});
     }
 }
 
-void commit_queue::remember(const item_list& written, row_version version)
+void commit_queue::cache_rows(const item_list& written, row_version version)
 {
     for (const auto& it : written)
     {
@@ -160,22 +160,22 @@
         if (it.change.puts.size() == 1)
         {
             const auto& put = it.change.puts.front();
-            m_memory.put({put.name, put.value, version});
+            m_cached_rows.put({put.name, put.value, version});
         }
     }
 }
 
-void commit_queue::give_up_expired(partition_queue& queue)
+void commit_queue::fail_expired(partition_queue& queue)
 {
     const auto now = m_clock();
     const auto expired = std::ranges::stable_partition(queue.waiting, [now](const item& it)
                                                        { return it.change.expires > now; });
-    item_list given_up{std::make_move_iterator(expired.begin()), std::make_move_iterator(expired.end())};
+    item_list timed_out{std::make_move_iterator(expired.begin()), std::make_move_iterator(expired.end())};
     queue.waiting.erase(expired.begin(), expired.end());
-    std::ranges::for_each(given_up, [this](item& it) { resolve(it, {}); });
+    std::ranges::for_each(timed_out, [this](item& it) { resolve(it, {}); });
 }
 
-void commit_queue::finish(const std::string& partition, item_list batch, const transaction_reply& reply)
+void commit_queue::on_reply(const std::string& partition, item_list batch, const transaction_reply& reply)
 {
     auto& queue = m_queues[partition];
     for (const auto& it : batch)
@@ -186,25 +186,25 @@
     if (reply.outcome == store_outcome::done)
     {
         queue.failures = 0;
-        --queue.busy;
-        remember(batch, reply.version);
+        --queue.occupied_slots;
+        cache_rows(batch, reply.version);
         std::ranges::for_each(batch, [&](item& it)
                               { resolve(it, {.outcome = store_outcome::done, .version = reply.version}); });
-        pump(partition);
+        send_next_batch(partition);
         return;
     }
     const auto size = batch.size();
     if (reply.outcome == store_outcome::conflict)
     {
-        std::ranges::for_each(reply.current, [this](const stored_row& it) { m_memory.put(it); });
-        settle_conflicts(batch, reply);
+        std::ranges::for_each(reply.current, [this](const stored_row& it) { m_cached_rows.put(it); });
+        resolve_conflicts(batch, reply);
     }
     const bool progress = batch.size() < size;
-    put_back(queue, std::move(batch));
+    requeue(queue, std::move(batch));
     if (progress)
     {
-        --queue.busy;
-        pump(partition);
+        --queue.occupied_slots;
+        send_next_batch(partition);
     }
     else
     {
@@ -212,7 +212,7 @@
     }
 }
 
-void commit_queue::settle_conflicts(item_list& batch, const transaction_reply& reply)
+void commit_queue::resolve_conflicts(item_list& batch, const transaction_reply& reply)
 {
     const auto holds = [&reply](const item& it)
     {
@@ -233,7 +233,7 @@
     }
 }
 
-void commit_queue::put_back(partition_queue& queue, item_list batch)
+void commit_queue::requeue(partition_queue& queue, item_list batch)
 {
     queue.waiting.insert(queue.waiting.begin(), std::make_move_iterator(batch.begin()),
                          std::make_move_iterator(batch.end()));
@@ -241,16 +241,17 @@
 
 void commit_queue::retry_later(const std::string& partition, partition_queue& queue)
 {
-    constexpr std::uint32_t longest_shift = 3;
-    const auto bound = std::min(first_pause * (1 << std::min(queue.failures, longest_shift)), longest_pause);
+    constexpr std::uint32_t max_backoff_shift = 3;
+    const auto bound =
+        std::min(initial_backoff * (1 << std::min(queue.failures, max_backoff_shift)), max_backoff);
     ++queue.failures;
     // Half of the pause is random, so that gateways refused together do not come back together.
     std::uniform_int_distribution<milliseconds::rep> part(bound.count() / 2, bound.count());
     m_delay(milliseconds{part(m_random)},
             [this, partition]
             {
-                --m_queues[partition].busy;
-                pump(partition);
+                --m_queues[partition].occupied_slots;
+                send_next_batch(partition);
             });
 }
 
--- a/src/gateway/commit_router.cpp
+++ b/src/gateway/commit_router.cpp
@@ -16,24 +16,24 @@
 
 /// Messages to one collector under way: enough that a change seldom waits for an earlier one's transaction,
 /// few enough that a busy gateway's changes share messages.
-constexpr int most_under_way = 4;
+constexpr int max_in_flight = 4;
 
 /// Within this time a collector answers: several transactions' time, well under what a sender waits for it.
-constexpr milliseconds answer_within{400};
+constexpr milliseconds max_collect_time{400};
 /// Until what could not be written yet is tried again, doubled each time that it is in vain.
-constexpr milliseconds again_after{25};
-constexpr milliseconds longest_hold{200};
+constexpr milliseconds initial_retry_delay{25};
+constexpr milliseconds max_retry_delay{200};
 /// After that many collectors in a row that lack the store, a change waits before others are asked.
-constexpr int most_refusals = 3;
+constexpr int max_refusals = 3;
 /// After that many collectors without an answer, a change is written by its own gateway: perhaps it is the
 /// one that the others don't reach.
-constexpr int most_silences = 2;
+constexpr int max_unanswered_sends = 2;
 
 /// The results of one message's changes as they come in.
-struct collection
+struct pending_results
 {
     std::vector<change_result> results;
-    std::size_t missing = 0;
+    std::size_t outstanding = 0;
     collector_callback on_done;
 
     void finish()
@@ -56,7 +56,7 @@
 
 std::size_t commit_router::pending() const
 {
-    return m_forwarded + m_held.size() + m_own.pending();
+    return m_forwarded + m_deferred.size() + m_own.pending();
 }
 
 void commit_router::submit(const std::string& partition, row_change change, change_callback on_result)
@@ -71,7 +71,7 @@
     std::set<std::string> collectors;
     for (auto& it : items)
     {
-        if (auto collector = place(std::move(it)))
+        if (auto collector = dispatch(std::move(it)))
         {
             collectors.insert(std::move(*collector));
         }
@@ -79,16 +79,16 @@
     std::ranges::for_each(collectors, [this](const std::string& it) { send(it); });
 }
 
-std::optional<std::string> commit_router::place(item it)
+std::optional<std::string> commit_router::dispatch(item it)
 {
-    const bool lacks_store = m_store.direct_path_down_for().has_value();
-    if (!m_held.empty() && lacks_store)
+    const bool cut_off = m_store.direct_path_down_for().has_value();
+    if (!m_deferred.empty() && cut_off)
     {
-        hold(std::move(it));
+        defer(std::move(it));
         return std::nullopt;
     }
-    auto collector = it.silences < most_silences
-                         ? m_peers.collector_of(it.change.partition, m_clock(), lacks_store)
+    auto collector = it.unanswered_sends < max_unanswered_sends
+                         ? m_peers.collector_of(it.change.partition, m_clock(), cut_off)
                          : std::nullopt;
     if (!collector)
     {
@@ -100,72 +100,72 @@
     return collector;
 }
 
-void commit_router::hold(item it)
+void commit_router::defer(item it)
 {
-    m_held.push_back(std::move(it));
-    release_later();
+    m_deferred.push_back(std::move(it));
+    schedule_retry();
 }
 
-void commit_router::release_later()
+void commit_router::schedule_retry()
 {
-    if (!std::exchange(m_release_planned, true))
+    if (!std::exchange(m_retry_scheduled, true))
     {
-        m_delay(std::max(m_hold_pause, again_after), [this] { release_held(); });
+        m_delay(std::max(m_retry_delay, initial_retry_delay), [this] { retry_deferred(); });
     }
 }
 
-void commit_router::try_next(item_list refused)
+void commit_router::route_refused(item_list refused)
 {
     std::ranges::for_each(refused, [](item& it) { ++it.refusals; });
-    const auto to_hold =
-        std::ranges::stable_partition(refused, [](const item& it) { return it.refusals < most_refusals; });
-    item_list held{std::make_move_iterator(to_hold.begin()), std::make_move_iterator(to_hold.end())};
-    refused.erase(to_hold.begin(), to_hold.end());
-    for (auto& it : held)
+    const auto to_defer =
+        std::ranges::stable_partition(refused, [](const item& it) { return it.refusals < max_refusals; });
+    item_list deferred{std::make_move_iterator(to_defer.begin()), std::make_move_iterator(to_defer.end())};
+    refused.erase(to_defer.begin(), to_defer.end());
+    for (auto& it : deferred)
     {
         it.refusals = 0;
-        hold(std::move(it));
+        defer(std::move(it));
     }
     route(std::move(refused));
 }
 
-void commit_router::release_held()
+void commit_router::retry_deferred()
 {
-    m_release_planned = false;
+    m_retry_scheduled = false;
     const auto now = m_clock();
-    const auto expired = std::ranges::stable_partition(m_held, [now](const item& it)
+    const auto expired = std::ranges::stable_partition(m_deferred, [now](const item& it)
                                                        { return it.change.change.expires > now; });
-    item_list over{std::make_move_iterator(expired.begin()), std::make_move_iterator(expired.end())};
-    m_held.erase(expired.begin(), expired.end());
-    std::ranges::for_each(over, [](item& it) { it.on_result({}); });
-    if (m_held.empty())
+    item_list timed_out{std::make_move_iterator(expired.begin()), std::make_move_iterator(expired.end())};
+    m_deferred.erase(expired.begin(), expired.end());
+    std::ranges::for_each(timed_out, [](item& it) { it.on_result({}); });
+    if (m_deferred.empty())
     {
         return;
     }
     if (!m_store.reachable())
     {
         m_was_unreachable = true;
-        m_hold_pause = again_after;
-        release_later();
+        m_retry_delay = initial_retry_delay;
+        schedule_retry();
         return;
     }
     if (std::exchange(m_was_unreachable, false))
     {
-        m_peers.forget_storeless();
+        m_peers.clear_store_unreachable();
     }
-    m_hold_pause = std::clamp(m_hold_pause * 2, again_after, longest_hold);
-    route(std::exchange(m_held, {}));
+    m_retry_delay = std::clamp(m_retry_delay * 2, initial_retry_delay, max_retry_delay);
+    route(std::exchange(m_deferred, {}));
 }
 
 void commit_router::send(const std::string& collector)
 {
     auto& box = m_outboxes[collector];
-    if (box.under_way >= most_under_way || box.waiting.empty())
+    if (box.in_flight >= max_in_flight || box.waiting.empty())
     {
         return;
     }
-    ++box.under_way;
-    m_peers.on_trial(collector, m_clock());
+    ++box.in_flight;
+    m_peers.start_probe(collector, m_clock());
     auto sent = std::make_shared<item_list>(std::exchange(box.waiting, {}));
     std::vector<routed_change> changes;
     std::ranges::transform(*sent, std::back_inserter(changes), &item::change);
@@ -176,14 +176,14 @@
 
 void commit_router::on_answer(const std::string& collector, item_list sent, const collector_answer& answer)
 {
-    --m_outboxes[collector].under_way;
+    --m_outboxes[collector].in_flight;
     m_forwarded -= sent.size();
     const bool collected = answer.outcome == collector_outcome::collected;
     const auto results = collected ? decode_results(answer.results) : std::nullopt;
     if (results && results->size() == sent.size())
     {
         m_peers.answered(collector);
-        m_hold_pause = again_after;
+        m_retry_delay = initial_retry_delay;
         on_results(std::move(sent), *results);
     }
     else
@@ -197,10 +197,10 @@
 {
     for (std::size_t i = 0; i < sent.size(); ++i)
     {
-        const bool over = sent[i].change.change.expires <= m_clock();
-        if (results[i].outcome == store_outcome::unknown && !over)
+        const bool expired = sent[i].change.change.expires <= m_clock();
+        if (results[i].outcome == store_outcome::unknown && !expired)
         {
-            send_again(std::move(sent[i]));
+            resend_later(std::move(sent[i]));
         }
         else
         {
@@ -209,16 +209,16 @@
     }
 }
 
-void commit_router::send_again(item it)
+void commit_router::resend_later(item it)
 {
-    auto kept = std::make_shared<item>(std::move(it));
+    auto resent = std::make_shared<item>(std::move(it));
     ++m_forwarded;
-    m_delay(again_after,
-            [this, kept]
+    m_delay(initial_retry_delay,
+            [this, resent]
             {
                 --m_forwarded;
                 item_list items;
-                items.push_back(std::move(*kept));
+                items.push_back(std::move(*resent));
                 route(std::move(items));
             });
 }
@@ -229,24 +229,24 @@
     {
         // Nobody can write now. The collector stays the one, so that the store's return does not find many
         // writers.
-        std::ranges::for_each(sent, [this](item& it) { hold(std::move(it)); });
+        std::ranges::for_each(sent, [this](item& it) { defer(std::move(it)); });
         return;
     }
-    const bool storeless = answer.outcome == collector_outcome::lacks_store;
+    const bool store_unreachable = answer.outcome == collector_outcome::store_unreachable;
     log_event(event_id::collector_failed, {{"collector", collector},
-                                           {"why", storeless ? "it lacks the store" : "no answer"},
+                                           {"why", store_unreachable ? "it lacks the store" : "no answer"},
                                            {"changes", std::to_string(sent.size())}});
-    if (storeless)
+    if (store_unreachable)
     {
-        m_peers.lacks_store(collector, m_clock(), answer.lacked_for);
-        try_next(std::move(sent));
+        m_peers.mark_store_unreachable(collector, m_clock(), answer.unreachable_for);
+        route_refused(std::move(sent));
     }
     else
     {
         m_peers.failed(collector, m_clock());
         // What the collector did is not known. Written once more, a change does no harm: it holds under its
         // condition, or may be written twice.
-        std::ranges::for_each(sent, [](item& it) { ++it.silences; });
+        std::ranges::for_each(sent, [](item& it) { ++it.unanswered_sends; });
         route(std::move(sent));
     }
     reroute(collector);
@@ -270,25 +270,25 @@
     }
     if (const auto cut_off_for = m_store.direct_path_down_for())
     {
-        on_done({.outcome = collector_outcome::lacks_store,
-                 .lacked_for = std::chrono::floor<milliseconds>(*cut_off_for)});
+        on_done({.outcome = collector_outcome::store_unreachable,
+                 .unreachable_for = std::chrono::floor<milliseconds>(*cut_off_for)});
         return;
     }
-    auto collected = std::make_shared<collection>();
+    auto collected = std::make_shared<pending_results>();
     collected->results.resize(changes->size());
-    collected->missing = changes->size();
+    collected->outstanding = changes->size();
     collected->on_done = std::move(on_done);
-    m_delay(answer_within, [collected] { collected->finish(); });
+    m_delay(max_collect_time, [collected] { collected->finish(); });
     for (std::size_t i = 0; i < changes->size(); ++i)
     {
         auto& it = (*changes)[i];
         // Not kept longer than its sender is told: it comes again.
-        it.change.expires = std::min(it.change.expires, now + answer_within);
+        it.change.expires = std::min(it.change.expires, now + max_collect_time);
         m_own.submit(it.partition, std::move(it.change),
                      [collected, i](const change_result& result)
                      {
                          collected->results[i] = result;
-                         if (--collected->missing == 0)
+                         if (--collected->outstanding == 0)
                          {
                              collected->finish();
                          }
--- a/src/gateway/forwarded_request_answer.cpp
+++ b/src/gateway/forwarded_request_answer.cpp
@@ -42,7 +42,7 @@
                      .input = m_request.body,
                      .output = m_progress->event_data(),
                      .domain = m_last_domain};
-    m_services.turns.keep(turn_id(), std::move(turn), m_deadline,
+    m_services.turns.save(turn_id(), std::move(turn), m_deadline,
                           [self = shared_from_this()](bool kept)
                           {
                               self->m_turn_durable = kept;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -108,9 +108,9 @@
           { peer_client.collect(address, std::move(bytes), std::move(on_answer)); },
           delay, monotonic_now),
       shared_rows(
-          store, local_commits.memory(), peers,
+          store, local_commits.cached_rows(), peers,
           [this](const auto& address, auto bytes, auto on_rows)
-          { peer_client.recall(address, std::move(bytes), std::move(on_rows)); },
+          { peer_client.query_rows(address, std::move(bytes), std::move(on_rows)); },
           monotonic_now),
       spending(shared_rows, commits, delay, monotonic_now),
       turns(shared_rows, commits, options.cache_bytes, options.row_bytes),
@@ -405,7 +405,7 @@
 
 void gateway::serve_row_lookup(const http_request& request, const std::shared_ptr<http_exchange>& exchange)
 {
-    exchange->respond(detail::to_response(m_state->shared_rows.recall(request.body)));
+    exchange->respond(detail::to_response(m_state->shared_rows.read_cached(request.body)));
 }
 
 void gateway::serve_overdraft(const http_request& request, const std::shared_ptr<http_exchange>& exchange)
--- a/src/gateway/peer_calls.cpp
+++ b/src/gateway/peer_calls.cpp
@@ -15,21 +15,21 @@
 
 /// How long a collector may take before its sender turns to another: well above a transaction whose answer
 /// was lost once, and above the time within which collectors answer whatever the store does.
-constexpr milliseconds collector_limit{800};
-constexpr milliseconds collector_connect_limit{100};
+constexpr milliseconds collect_timeout{800};
+constexpr milliseconds collect_connect_timeout{100};
 /// How long a collector may take to say what it remembers: the store, which is asked then, is not far.
-constexpr milliseconds recall_limit{100};
+constexpr milliseconds row_query_timeout{100};
 
 /// How long the holder of an overdraft, or of a slice of a quota, may take to answer: it asks nobody itself,
 /// and the request waits meanwhile.
-constexpr milliseconds holder_limit{100};
+constexpr milliseconds holder_timeout{100};
 
 /// How long a collector has lacked the store, in ms.
-const std::string lacked_for_header = "Lacked-Store-Ms";
+const std::string unreachable_for_header = "Lacked-Store-Ms";
 
 constexpr int status_ok = 200;
-constexpr int status_unreadable = 400;
-constexpr int status_lacks_store = 503;
+constexpr int status_bad_request = 400;
+constexpr int status_store_unreachable = 503;
 
 http_client_request make_request(const std::string& address, const char* path, std::string body)
 {
@@ -40,9 +40,9 @@
             .headers = {{"Content-Type", "application/cbor"}}};
 }
 
-milliseconds read_lacked_for(const http_client_reply& reply)
+milliseconds read_unreachable_for(const http_client_reply& reply)
 {
-    const auto text = reply.header(lacked_for_header);
+    const auto text = reply.header(unreachable_for_header);
     return milliseconds{text ? std::atoll(text->c_str()) : 0};
 }
 
@@ -56,8 +56,9 @@
     {
     case status_ok:
         return {collector_outcome::collected, std::move(reply.body)};
-    case status_lacks_store:
-        return {.outcome = collector_outcome::lacks_store, .lacked_for = read_lacked_for(reply)};
+    case status_store_unreachable:
+        return {.outcome = collector_outcome::store_unreachable,
+                .unreachable_for = read_unreachable_for(reply)};
     default:
         return {};
     }
@@ -68,16 +69,16 @@
 void peer_calls::collect(const std::string& address, std::string changes, collector_callback on_answer)
 {
     auto request = make_request(address, gateway::commit_path, std::move(changes));
-    request.timeout = collector_limit;
-    request.connect_timeout = collector_connect_limit;
+    request.timeout = collect_timeout;
+    request.connect_timeout = collect_connect_timeout;
     m_client.send(std::move(request), [on_answer = std::move(on_answer)](http_client_reply reply)
                   { on_answer(to_collector_answer(std::move(reply))); });
 }
 
-void peer_calls::ask(http_client_request request, milliseconds limit, peer_callback on_answer)
+void peer_calls::send_idempotent(http_client_request request, milliseconds timeout, peer_callback on_answer)
 {
-    request.timeout = limit;
-    request.connect_timeout = limit;
+    request.timeout = timeout;
+    request.connect_timeout = timeout;
     request.idempotent = true;
     m_client.send(std::move(request),
                   [on_answer = std::move(on_answer)](http_client_reply reply)
@@ -87,29 +88,30 @@
                   });
 }
 
-void peer_calls::recall(const std::string& address, std::string query, peer_callback on_rows)
+void peer_calls::query_rows(const std::string& address, std::string query, peer_callback on_rows)
 {
-    ask(make_request(address, gateway::row_lookup_path, std::move(query)), recall_limit,
-        [address, on_rows = std::move(on_rows)](std::optional<std::string> rows)
-        {
-            if (!rows)
-            {
-                log_event(event_id::collector_failed,
-                          {{"collector", address}, {"why", "no answer to a read"}});
-            }
-            on_rows(std::move(rows));
-        });
+    send_idempotent(make_request(address, gateway::row_lookup_path, std::move(query)), row_query_timeout,
+                    [address, on_rows = std::move(on_rows)](std::optional<std::string> rows)
+                    {
+                        if (!rows)
+                        {
+                            log_event(event_id::collector_failed,
+                                      {{"collector", address}, {"why", "no answer to a read"}});
+                        }
+                        on_rows(std::move(rows));
+                    });
 }
 
 void peer_calls::overdraft(const std::string& address, std::string message, peer_callback on_answer)
 {
-    ask(make_request(address, gateway::overdraft_path, std::move(message)), holder_limit,
-        std::move(on_answer));
+    send_idempotent(make_request(address, gateway::overdraft_path, std::move(message)), holder_timeout,
+                    std::move(on_answer));
 }
 
 void peer_calls::quota(const std::string& address, std::string question, peer_callback on_answer)
 {
-    ask(make_request(address, gateway::quota_path, std::move(question)), holder_limit, std::move(on_answer));
+    send_idempotent(make_request(address, gateway::quota_path, std::move(question)), holder_timeout,
+                    std::move(on_answer));
 }
 
 http_response to_response(const collector_answer& answer)
@@ -118,21 +120,21 @@
     {
     case collector_outcome::collected:
         return {.status = status_ok, .content_type = "application/cbor", .body = answer.results};
-    case collector_outcome::lacks_store:
-        return {.status = status_lacks_store,
+    case collector_outcome::store_unreachable:
+        return {.status = status_store_unreachable,
                 .body = "{}",
-                .headers = {{lacked_for_header, std::to_string(answer.lacked_for.count())}}};
+                .headers = {{unreachable_for_header, std::to_string(answer.unreachable_for.count())}}};
     case collector_outcome::no_answer:
         break;
     }
-    return {.status = status_unreadable, .body = "{}"};
+    return {.status = status_bad_request, .body = "{}"};
 }
 
 http_response to_response(std::optional<std::string> answer)
 {
     if (!answer)
     {
-        return {.status = status_unreadable, .body = "{}"};
+        return {.status = status_bad_request, .body = "{}"};
     }
     return {.status = status_ok, .content_type = "application/cbor", .body = std::move(*answer)};
 }
--- a/src/gateway/peer_calls.hpp
+++ b/src/gateway/peer_calls.hpp
@@ -21,13 +21,13 @@
     explicit peer_calls(boost::asio::io_context& context) : m_client(context) {}
 
     void collect(const std::string& address, std::string changes, collector_callback on_answer);
-    void recall(const std::string& address, std::string query, peer_callback on_rows);
+    void query_rows(const std::string& address, std::string query, peer_callback on_rows);
     void overdraft(const std::string& address, std::string message, peer_callback on_answer);
     void quota(const std::string& address, std::string question, peer_callback on_answer);
 
   private:
     /// Asks for what does no harm if it is asked twice.
-    void ask(http_client_request request, milliseconds limit, peer_callback on_answer);
+    void send_idempotent(http_client_request request, milliseconds timeout, peer_callback on_answer);
 
     http_client m_client;
 };
--- a/src/gateway/peer_list.cpp
+++ b/src/gateway/peer_list.cpp
@@ -13,14 +13,14 @@
 /// Peers find each other in this table: node name to "ip:port".
 const std::string peer_table = "gateways";
 /// How often the list of peers is read at least: a new one is known that much later.
-constexpr milliseconds peer_period{3'000};
+constexpr milliseconds min_read_interval{3'000};
 /// All gateways read entries of all: the time between two readings grows with their number beyond this many
 /// readings a second, so that what the store hands out grows no faster than they do.
-constexpr milliseconds reading_per_gateway{20};
+constexpr milliseconds read_interval_per_gateway{20};
 /// How often the own entry is written anew, and how long one that is not counts: a gateway that is gone is
 /// off the list after two writes that did not come.
-constexpr milliseconds announce_period{10'000};
-constexpr milliseconds peer_life{25'000};
+constexpr milliseconds announce_interval{10'000};
+constexpr milliseconds entry_ttl{25'000};
 } // namespace
 
 peer_list::peer_list(row_store& store, peer_directory& peers, std::string node, peer self,
@@ -56,7 +56,7 @@
                          const bool done = reply.outcome == store_outcome::done;
                          if (!done || !m_leaving)
                          {
-                             m_delay(done ? announce_period : peer_period, [this] { announce(); });
+                             m_delay(done ? announce_interval : min_read_interval, [this] { announce(); });
                          }
                      });
 }
@@ -68,19 +68,20 @@
                   {
                       if (reply.answered)
                       {
-                          take_peers(reply.rows);
+                          update_peers(reply.rows);
                       }
-                      m_delay(m_peers.period(peer_period, reading_per_gateway), [this] { read_peers(); });
+                      m_delay(m_peers.scaled_interval(min_read_interval, read_interval_per_gateway),
+                              [this] { read_peers(); });
                   });
 }
 
-void peer_list::take_peers(const std::vector<stored_row>& rows)
+void peer_list::update_peers(const std::vector<stored_row>& rows)
 {
     const auto now = m_clock();
     std::vector<peer> peers;
     for (const auto& it : rows)
     {
-        auto& seen = m_changes[it.name.key];
+        auto& seen = m_last_changes[it.name.key];
         if (seen.version != it.version)
         {
             seen = {it.version, now};
@@ -88,7 +89,7 @@
         std::istringstream entry{it.value};
         peer peer;
         entry >> peer.address >> peer.cores;
-        if (entry && now - seen.at < peer_life)
+        if (entry && now - seen.at < entry_ttl)
         {
             peers.push_back(std::move(peer));
         }
--- a/src/gateway/quota/workspace_quotas.cpp
+++ b/src/gateway/quota/workspace_quotas.cpp
@@ -271,8 +271,8 @@
         {
             if (grant->granted.of(kind) < request.demand.waiting.of(kind))
             {
-                const auto wait =
-                    std::max(grant->retry_after_for(kind), m_peers.period(min_backoff, backoff_per_gateway));
+                const auto wait = std::max(grant->retry_after_for(kind),
+                                           m_peers.scaled_interval(min_backoff, backoff_per_gateway));
                 it.backoffs.back_off(request.slice.index, kind, m_awake_clock() + wait);
             }
         }
--- a/src/gateway/turn_store.cpp
+++ b/src/gateway/turn_store.cpp
@@ -17,28 +17,28 @@
 
 const std::string turn_table = "turns";
 /// Stands between a turn's id and the number of a further piece; ids hold no such character.
-constexpr char piece_separator = '~';
+constexpr char chunk_separator = '~';
 /// Behind a turn's id: the end of the range that holds all its pieces.
-constexpr std::string_view after_pieces = "~~";
+constexpr std::string_view chunk_range_suffix = "~~";
 
-std::string piece_key(const request_id& id, std::size_t piece)
+std::string chunk_key(const request_id& id, std::size_t chunk)
 {
-    return piece == 0 ? id.value : id.value + piece_separator + std::to_string(piece);
+    return chunk == 0 ? id.value : id.value + chunk_separator + std::to_string(chunk);
 }
 
-std::vector<std::string> pieces_of(const request_id& id, const std::vector<stored_row>& rows)
+std::vector<std::string> chunks_of(const request_id& id, const std::vector<stored_row>& rows)
 {
-    std::vector<std::string> pieces;
-    const auto next_piece = [&]
+    std::vector<std::string> chunks;
+    const auto next_chunk = [&]
     {
-        return std::ranges::find(rows, piece_key(id, pieces.size()),
+        return std::ranges::find(rows, chunk_key(id, chunks.size()),
                                  [](const stored_row& it) { return it.name.key; });
     };
-    for (auto it = next_piece(); it != rows.end(); it = next_piece())
+    for (auto it = next_chunk(); it != rows.end(); it = next_chunk())
     {
-        pieces.push_back(it->value);
+        chunks.push_back(it->value);
     }
-    return pieces;
+    return chunks;
 }
 
 } // namespace
@@ -56,17 +56,17 @@
     }
     std::string bytes;
     nlohmann::json::to_cbor(document, bytes);
-    std::vector<std::string> pieces;
+    std::vector<std::string> chunks;
     for (std::size_t at = 0; at < bytes.size(); at += row_bytes)
     {
-        pieces.push_back(bytes.substr(at, row_bytes));
+        chunks.push_back(bytes.substr(at, row_bytes));
     }
-    return pieces;
+    return chunks;
 }
 
-std::optional<turn_record> decode_turn(const std::vector<std::string>& pieces)
+std::optional<turn_record> decode_turn(const std::vector<std::string>& chunks)
 {
-    const auto bytes = std::accumulate(pieces.begin(), pieces.end(), std::string{});
+    const auto bytes = std::accumulate(chunks.begin(), chunks.end(), std::string{});
     const auto document = nlohmann::json::from_cbor(bytes, true, false);
     const auto is_binary = [&](const char* name)
     { return document.contains(name) && document[name].is_binary(); };
@@ -139,7 +139,7 @@
 {
     std::vector<request_id> ids;
     std::vector<turn_ptr> turns;
-    std::size_t missing = 0;
+    std::size_t outstanding = 0;
     chain_outcome outcome = chain_outcome::found;
     chain_callback on_chain;
 };
@@ -172,7 +172,7 @@
     load->turns.resize(load->ids.size());
     load->turns.back() = last;
     // One more than is missing, so that answers from the cache don't end the load before all are asked for.
-    load->missing = load->ids.size();
+    load->outstanding = load->ids.size();
     for (std::size_t i = 0; i + 1 < load->ids.size(); ++i)
     {
         fetch(load->ids[i],
@@ -188,7 +188,7 @@
 
 void turn_store::finish(const std::shared_ptr<chain_load>& load)
 {
-    if (--load->missing > 0)
+    if (--load->outstanding > 0)
     {
         return;
     }
@@ -213,7 +213,7 @@
     const row_query query{.table = turn_table,
                           .partition = partition_of(id.value),
                           .from = id.value,
-                          .to = id.value + std::string{after_pieces},
+                          .to = id.value + std::string{chunk_range_suffix},
                           // A turn never changes.
                           .allow_cached = true};
     m_store.query(query,
@@ -224,39 +224,39 @@
                           on_turn(chain_outcome::unavailable, nullptr);
                           return;
                       }
-                      const auto pieces = pieces_of(id, reply.rows);
-                      auto turn = decode_turn(pieces);
+                      const auto chunks = chunks_of(id, reply.rows);
+                      auto turn = decode_turn(chunks);
                       if (!turn)
                       {
                           // A record that is there and can't be read is not a turn that never was.
-                          on_turn(pieces.empty() ? chain_outcome::missing : chain_outcome::unavailable,
+                          on_turn(chunks.empty() ? chain_outcome::missing : chain_outcome::unavailable,
                                   nullptr);
                           return;
                       }
-                      auto kept = std::make_shared<const turn_record>(std::move(*turn));
-                      m_cache.put(id, kept);
-                      on_turn(chain_outcome::found, std::move(kept));
+                      auto record = std::make_shared<const turn_record>(std::move(*turn));
+                      m_cache.put(id, record);
+                      on_turn(chain_outcome::found, std::move(record));
                   });
 }
 
-void turn_store::keep(const request_id& id, turn_record turn, time_point expires, kept_callback on_kept)
+void turn_store::save(const request_id& id, turn_record turn, time_point expires, save_callback on_saved)
 {
     row_change change{.expires = expires};
-    const auto pieces = encode_turn(turn, m_row_bytes);
-    for (std::size_t i = 0; i < pieces.size(); ++i)
+    const auto chunks = encode_turn(turn, m_row_bytes);
+    for (std::size_t i = 0; i < chunks.size(); ++i)
     {
-        change.puts.push_back({{turn_table, piece_key(id, i)}, pieces[i]});
+        change.puts.push_back({{turn_table, chunk_key(id, i)}, chunks[i]});
     }
-    auto kept = std::make_shared<const turn_record>(std::move(turn));
+    auto record = std::make_shared<const turn_record>(std::move(turn));
     m_commits.submit(partition_of(id.value), std::move(change),
-                     [this, id, kept, on_kept = std::move(on_kept)](const change_result& result)
+                     [this, id, record, on_saved = std::move(on_saved)](const change_result& result)
                      {
                          const bool durable = result.outcome == store_outcome::done;
                          if (durable)
                          {
-                             m_cache.put(id, kept);
+                             m_cache.put(id, record);
                          }
-                         on_kept(durable);
+                         on_saved(durable);
                      });
 }
 
--- a/tests/unit/test_gateway_collected_rows.cpp
+++ b/tests/unit/test_gateway_collected_rows.cpp
@@ -25,15 +25,15 @@
 namespace
 {
 
-constexpr std::size_t roomy = 1'000'000;
+constexpr std::size_t cache_bytes = 1'000'000;
 constexpr std::size_t row_bytes = 500;
 
 /// Three gateways that reach each other, each with its own way to the same rows.
-struct recall_world
+struct peer_read_world
 {
     struct member
     {
-        member(recall_world& world, const std::string& address)
+        member(peer_read_world& world, const std::string& address)
             : peers({address, 1}), store(world.rows, world.time.delays()),
               own(store, world.time.delays(), world.time.clock()),
               commits(
@@ -42,12 +42,12 @@
                   { world.collect(to, bytes, on_answer); },
                   world.time.delays(), world.time.clock()),
               shared(
-                  store, own.memory(), peers,
+                  store, own.cached_rows(), peers,
                   [&world](const auto& to, const auto& bytes, const auto& on_rows)
-                  { world.recall(to, bytes, on_rows); },
+                  { world.query_rows(to, bytes, on_rows); },
                   world.time.clock()),
               spending(shared, commits, world.time.delays(), world.time.clock()),
-              turns(shared, commits, roomy, row_bytes)
+              turns(shared, commits, cache_bytes, row_bytes)
         {
         }
 
@@ -60,7 +60,7 @@
         turn_store turns;
     };
 
-    recall_world()
+    peer_read_world()
     {
         const std::vector<peer> all{{"0", 1}, {"1", 1}, {"2", 1}};
         for (std::size_t n = 0; n < members.size(); ++n)
@@ -76,14 +76,14 @@
                       { members[std::stoul(to)]->commits.collect(bytes, on_answer); });
     }
 
-    void recall(const std::string& to, const std::string& bytes, const peer_callback& on_rows)
+    void query_rows(const std::string& to, const std::string& bytes, const peer_callback& on_rows)
     {
         const auto answer = [this, to, bytes, on_rows]
-        { on_rows(silent ? std::nullopt : members[std::stoul(to)]->shared.recall(bytes)); };
+        { on_rows(silent ? std::nullopt : members[std::stoul(to)]->shared.read_cached(bytes)); };
         time.delays()(1ms, answer);
     }
 
-    void set_store(store_mode mode)
+    void set_store_mode(store_mode mode)
     {
         for (auto& it : members)
         {
@@ -107,14 +107,14 @@
         return *outcome;
     }
 
-    bool keep(std::size_t at, const std::string& id, std::vector<request_id> ancestors,
+    bool save(std::size_t at, const std::string& id, std::vector<request_id> ancestors,
               const std::string& input)
     {
-        bool kept = false;
-        members[at]->turns.keep({id}, {std::move(ancestors), input, "out\n"}, time.now() + 1s,
-                                [&kept](bool it) { kept = it; });
+        bool saved = false;
+        members[at]->turns.save({id}, {std::move(ancestors), input, "out\n"}, time.now() + 1s,
+                                [&saved](bool it) { saved = it; });
         time.run(1s);
-        return kept;
+        return saved;
     }
 
     turn_chain load(std::size_t at, const std::string& id)
@@ -168,19 +168,19 @@
 // program before.
 TEST_CASE("while the store is away, a gateway goes on with a program that only others have seen")
 {
-    recall_world world;
-    REQUIRE(world.keep(0, "a", {}, "in a;"));
-    REQUIRE(world.keep(0, "b", {{"a"}}, "in b;"));
+    peer_read_world world;
+    REQUIRE(world.save(0, "a", {}, "in a;"));
+    REQUIRE(world.save(0, "b", {{"a"}}, "in b;"));
     REQUIRE(world.reserve(0, "b", 100, true) == reservation_outcome::granted);
     for (const auto mode : {store_mode::refusing, store_mode::unresponsive})
     {
-        world.set_store(mode);
+        world.set_store_mode(mode);
         // Each has asked the others for a way to the store, and found none.
         for (auto& it : world.members)
         {
             for (const auto* const asked : {"0", "1", "2"})
             {
-                it->peers.lacks_store(asked, world.time.now());
+                it->peers.mark_store_unreachable(asked, world.time.now());
             }
         }
         for (std::size_t at = 1; at < 3; ++at)
@@ -204,8 +204,8 @@
 
 TEST_CASE("what a collector remembers costs the store no read; what it does not is read there")
 {
-    recall_world world;
-    REQUIRE(world.keep(0, "a", {}, "in a;"));
+    peer_read_world world;
+    REQUIRE(world.save(0, "a", {}, "in a;"));
     const auto before = world.queries();
     CHECK(world.load(1, "a").outcome == chain_outcome::found);
     CHECK(world.queries() == before);
@@ -220,13 +220,13 @@
 // for one that never was, if the collector remembered another turn whose id begins like it.
 TEST_CASE("a turn is found in the store though only others, whose ids begin alike, are remembered")
 {
-    recall_world world;
+    peer_read_world world;
     std::string other;
     for (int n = 0; other.empty() || partition_of(other) != partition_of("a"); ++n)
     {
         other = "a" + std::to_string(n);
     }
-    REQUIRE(world.keep(0, other, {}, "in other;"));
+    REQUIRE(world.save(0, other, {}, "in other;"));
     const auto pieces = encode_turn({{}, "in a;", "out a\n"}, row_bytes);
     std::ignore =
         world.rows.apply({.partition = partition_of("a"), .puts = {{{"turns", "a"}, pieces.front()}}});
@@ -239,7 +239,7 @@
 // time; if its askers left it out, all would write by themselves.
 TEST_CASE("a collector that does not say what it remembers stays the collector")
 {
-    recall_world world;
+    peer_read_world world;
     world.silent = true;
     for (auto& it : world.members)
     {
@@ -255,8 +255,8 @@
 
 TEST_CASE("a turn of several rows is read whole")
 {
-    recall_world world;
-    REQUIRE(world.keep(0, "large", {}, std::string(3 * row_bytes, 'x')));
+    peer_read_world world;
+    REQUIRE(world.save(0, "large", {}, std::string(3 * row_bytes, 'x')));
     const auto chain = world.load(1, "large");
     CHECK(chain.outcome == chain_outcome::found);
     CHECK(chain.prompt.size() == 3 * row_bytes + 4);
@@ -264,7 +264,7 @@
 
 TEST_CASE("a refusal for the budget rests on the row itself, never on what is remembered of it")
 {
-    recall_world world;
+    peer_read_world world;
     REQUIRE(world.reserve(0, "one", 900, true) == reservation_outcome::granted);
     // Another gateway settles under the row's version without the collector's knowledge.
     const auto row = world.rows.read({.table = "spending", .partition = partition_of("p")}).rows.at(0);
--- a/tests/unit/test_gateway_commits.cpp
+++ b/tests/unit/test_gateway_commits.cpp
@@ -144,11 +144,11 @@
     commit_world world;
     world.put("row", 0);
     world.time.run(100ms);
-    const auto made = world.rows.transactions();
+    const auto transactions_before = world.rows.transactions();
     world.put("row", 0);
     CHECK(world.count(store_outcome::conflict) == 1);
     CHECK(world.results.back().current->version == 1);
-    CHECK(world.rows.transactions() == made);
+    CHECK(world.rows.transactions() == transactions_before);
     world.put("row", 1);
     world.time.run(100ms);
     CHECK(world.count(store_outcome::done) == 2);
--- a/tests/unit/test_gateway_peers.cpp
+++ b/tests/unit/test_gateway_peers.cpp
@@ -69,7 +69,7 @@
     void call(const std::string& to, std::string bytes, collector_callback on_answer)
     {
         ++messages;
-        if (dark.contains(to))
+        if (unresponsive.contains(to))
         {
             time.delays()(400ms, [on_answer] { on_answer({}); });
             return;
@@ -98,7 +98,7 @@
     std::map<std::string, std::unique_ptr<member>> members;
     std::vector<change_result> results;
     /// These answer nothing.
-    std::set<std::string> dark;
+    std::set<std::string> unresponsive;
     int messages = 0;
 };
 
@@ -114,7 +114,7 @@
 enum class collector_fault
 {
     none,
-    lacks_store,
+    store_unreachable,
     silent,
 };
 
@@ -124,29 +124,29 @@
 {
     router_world world{count};
     std::vector<router_world::member*> writers;
-    std::vector<router_world::member*> storeless;
+    std::vector<router_world::member*> cut_off_members;
     for (int n = 0; auto& [address, member] : world.members)
     {
-        const bool sound = n++ % 3 != 0;
-        if (sound)
+        const bool healthy = n++ % 3 != 0;
+        if (healthy)
         {
             writers.push_back(member.get());
         }
-        else if (fault == collector_fault::lacks_store)
+        else if (fault == collector_fault::store_unreachable)
         {
             member->store.mode = store_mode::refusing;
             member->store.reported_reachable = false;
-            storeless.push_back(member.get());
+            cut_off_members.push_back(member.get());
         }
         else if (fault == collector_fault::silent)
         {
-            world.dark.insert(address);
+            world.unresponsive.insert(address);
         }
     }
     load_figures figures;
     for (int round = 0; round < 50; ++round)
     {
-        for (auto* const it : storeless)
+        for (auto* const it : cut_off_members)
         {
             it->store.direct_path_down = round * 100ms;
         }
@@ -248,7 +248,7 @@
     const auto& other = peers[1].address;
     for (int n = 0; n < 10; ++n)
     {
-        directory.lacks_store(other, start);
+        directory.mark_store_unreachable(other, start);
     }
     CHECK(directory.choose(5, start + 200ms).empty());
     CHECK(directory.choose(5, start + 300ms).size() == 1);
@@ -274,7 +274,7 @@
 {
     router_world world{5};
     auto& first = *world.members.begin()->second;
-    world.dark.insert(first.peers.collector_of("p", world.time.now()).value_or(""));
+    world.unresponsive.insert(first.peers.collector_of("p", world.time.now()).value_or(""));
     for (auto& [address, member] : world.members)
     {
         world.put(*member, address, 0);
@@ -443,7 +443,7 @@
         {
             for (const auto& asked : member->peers.choose(2, world.time.now()))
             {
-                member->peers.lacks_store(asked, world.time.now());
+                member->peers.mark_store_unreachable(asked, world.time.now());
             }
         }
         world.time.run(50ms);
@@ -465,16 +465,16 @@
 {
     for (const int count : {10, 100, 400})
     {
-        const auto sound = write_steadily(count, collector_fault::none);
-        CHECK(sound.done == sound.wanted);
-        for (const auto fault : {collector_fault::lacks_store, collector_fault::silent})
+        const auto baseline = write_steadily(count, collector_fault::none);
+        CHECK(baseline.done == baseline.wanted);
+        for (const auto fault : {collector_fault::store_unreachable, collector_fault::silent})
         {
             CAPTURE(count);
             CAPTURE(static_cast<int>(fault));
             const auto figures = write_steadily(count, fault);
             CHECK(figures.done == figures.wanted);
-            CHECK(figures.transactions < sound.transactions * 5 / 4);
-            CHECK(figures.messages < sound.messages * 3 / 2);
+            CHECK(figures.transactions < baseline.transactions * 5 / 4);
+            CHECK(figures.messages < baseline.messages * 3 / 2);
         }
     }
 }
@@ -491,10 +491,10 @@
     }
     for (const auto& it : peers)
     {
-        directory.lacks_store(it.address, start);
+        directory.mark_store_unreachable(it.address, start);
     }
     CHECK_FALSE(directory.collector_of("p", start, true));
-    directory.forget_storeless();
+    directory.clear_store_unreachable();
     CHECK(directory.collector_of("p", start, true));
 }
 
@@ -502,17 +502,17 @@
 {
     struct row
     {
-        milliseconds lacked_for;
-        milliseconds left_out;
+        milliseconds unreachable_for;
+        milliseconds excluded_for;
     };
     const auto peers = make_peers(2);
     for (const auto& it : {row{0ms, 300ms}, row{1s, 500ms}, row{60s, 2'400ms}})
     {
         peer_directory directory{peers[0]};
         directory.set(peers);
-        directory.lacks_store(peers[1].address, start, it.lacked_for);
-        CHECK(directory.choose(1, start + it.left_out - 1ms).empty());
-        CHECK(directory.choose(1, start + it.left_out).size() == 1);
+        directory.mark_store_unreachable(peers[1].address, start, it.unreachable_for);
+        CHECK(directory.choose(1, start + it.excluded_for - 1ms).empty());
+        CHECK(directory.choose(1, start + it.excluded_for).size() == 1);
     }
 }
 
@@ -525,10 +525,10 @@
     directory.failed(other, start);
     const auto later = start + 1'500ms;
     CHECK(directory.choose(1, later).size() == 1);
-    directory.on_trial(other, later);
+    directory.start_probe(other, later);
     CHECK(directory.choose(1, later + 999ms).empty());
     directory.answered(other);
-    directory.on_trial(other, later);
+    directory.start_probe(other, later);
     CHECK(directory.choose(1, later).size() == 1);
 }
 
@@ -561,7 +561,7 @@
     const auto& relay = peers[7].address;
     CHECK(directory.choose(3, start, relay).front() == relay);
     CHECK(directory.choose(3, start, relay).size() == 3);
-    directory.lacks_store(relay, start);
+    directory.mark_store_unreachable(relay, start);
     const auto others = directory.choose(49, start, relay);
     CHECK(std::ranges::find(others, relay) == others.end());
 }
--- a/tests/unit/test_gateway_turns.cpp
+++ b/tests/unit/test_gateway_turns.cpp
@@ -18,7 +18,7 @@
 namespace
 {
 
-constexpr std::size_t roomy = 1'000'000;
+constexpr std::size_t cache_bytes = 1'000'000;
 constexpr std::size_t row_bytes = 200;
 
 struct turn_world
@@ -27,17 +27,17 @@
     row_table rows;
     memory_store store{rows, time.delays()};
     commit_queue commits{store, time.delays(), time.clock()};
-    turn_store writer{store, commits, roomy, row_bytes};
-    turn_store reader{store, commits, roomy, row_bytes};
+    turn_store writer{store, commits, cache_bytes, row_bytes};
+    turn_store reader{store, commits, cache_bytes, row_bytes};
 
-    bool keep(const std::string& id, std::vector<request_id> ancestors, const std::string& input,
+    bool save(const std::string& id, std::vector<request_id> ancestors, const std::string& input,
               const std::string& output)
     {
-        bool kept = false;
-        writer.keep({id}, {std::move(ancestors), input, output}, time.now() + 1s,
-                    [&kept](bool it) { kept = it; });
+        bool saved = false;
+        writer.save({id}, {std::move(ancestors), input, output}, time.now() + 1s,
+                    [&saved](bool it) { saved = it; });
         time.run(2s);
-        return kept;
+        return saved;
     }
 
     turn_chain load(turn_store& from, const std::string& id)
@@ -56,11 +56,11 @@
 {
     turn_world world;
     using namespace std::string_literals;
-    const auto odd = "line\r\n\0\xff\x80 "s;
-    REQUIRE(world.keep("a", {}, "in a;", "out a\n"));
-    REQUIRE(world.keep("b", {{"a"}}, odd, std::string(1'000, 'x') + "\n"));
-    REQUIRE(world.keep("c", {{"a"}, {"b"}}, "in c;", ""));
-    const auto expected = "in a;out a\n" + odd + std::string(1'000, 'x') + "\nin c;";
+    const auto binary_text = "line\r\n\0\xff\x80 "s;
+    REQUIRE(world.save("a", {}, "in a;", "out a\n"));
+    REQUIRE(world.save("b", {{"a"}}, binary_text, std::string(1'000, 'x') + "\n"));
+    REQUIRE(world.save("c", {{"a"}, {"b"}}, "in c;", ""));
+    const auto expected = "in a;out a\n" + binary_text + std::string(1'000, 'x') + "\nin c;";
     for (auto* const from : {&world.writer, &world.reader})
     {
         const auto chain = world.load(*from, "c");
@@ -77,7 +77,7 @@
 TEST_CASE("a turn that is not there is missing; one that can't be asked for is not")
 {
     turn_world world;
-    REQUIRE(world.keep("ab", {}, "in", "out\n"));
+    REQUIRE(world.save("ab", {}, "in", "out\n"));
     // A longer id, and a shorter one, are other turns.
     CHECK(world.load(world.reader, "a").outcome == chain_outcome::missing);
     CHECK(world.load(world.reader, "abc").outcome == chain_outcome::missing);
@@ -91,7 +91,7 @@
 {
     turn_world world;
     world.store.mode = store_mode::unresponsive;
-    CHECK_FALSE(world.keep("a", {}, "in", "out\n"));
+    CHECK_FALSE(world.save("a", {}, "in", "out\n"));
     world.store.mode = store_mode::available;
     CHECK(world.load(world.writer, "a").outcome == chain_outcome::missing);
 }
@@ -99,12 +99,12 @@
 TEST_CASE("records are read as they were written; damaged ones are none")
 {
     const turn_record turn{{{"x"}, {"y"}}, "input", std::string(900, 'o')};
-    const auto pieces = encode_turn(turn, row_bytes);
-    CHECK(pieces.size() > 1);
-    CHECK(decode_turn(pieces) == turn);
+    const auto chunks = encode_turn(turn, row_bytes);
+    CHECK(chunks.size() > 1);
+    CHECK(decode_turn(chunks) == turn);
     const turn_record placed{{}, "input", "output", {"here"}};
     CHECK(decode_turn(encode_turn(placed, row_bytes)) == placed);
-    CHECK_FALSE(decode_turn({pieces.front()}));
+    CHECK_FALSE(decode_turn({chunks.front()}));
     CHECK_FALSE(decode_turn({}));
     CHECK_FALSE(decode_turn({"\xa0"}));
 }
