--- a/include/masticcourse/gateway/collected_rows.hpp
+++ b/include/masticcourse/gateway/collected_rows.hpp
@@ -1,11 +1,12 @@
 /// @file
-/// Reads rows from the gateway that collects their partition's commits before it asks the store: it has
-/// written them lately, and remembers them.
+/// Reads rows from the cache of their partition's collector before querying the store. The collector is the
+/// gateway that writes all commits of a partition, so it usually has the recently written rows.
 ///
-/// Load pattern: programs whose turns come through one gateway after the other, as callers move or try again
-/// elsewhere: the store would be asked for what a peer knows. And while the store is away for all, a gateway
-/// that has not seen a program before could not tell what it goes on from or may spend, and had to refuse
-/// each of its turns; callers who try again always meet such gateways.
+/// Load pattern: the turns of one program arrive at different gateways, because callers move or retry
+/// elsewhere. Without this cache each gateway would query the store for rows that a peer has cached. During a
+/// store outage, a gateway that has not served the program before could determine neither its conversation
+/// history nor its remaining budget and would have to refuse its turns; callers that retry always reach such
+/// gateways.
 #pragma once
 
 #include "masticcourse/gateway/peer_directory.hpp"
@@ -20,10 +21,10 @@
 namespace masticcourse::gateway
 {
 
-/// @name On the wire between gateways
+/// @name Wire format between gateways
 /// @{
 [[nodiscard]] std::string encode_query(const row_query& query);
-/// @return nothing if @a bytes are no such message
+/// @return nothing if @a bytes cannot be decoded
 [[nodiscard]] std::optional<row_query> decode_query(const std::string& bytes);
 [[nodiscard]] std::string encode_rows(const std::vector<stored_row>& rows);
 [[nodiscard]] std::optional<std::vector<stored_row>> decode_rows(const std::string& bytes);
@@ -32,14 +33,14 @@
 class collected_rows final : public row_store
 {
   public:
-    /// @param own  what this gateway remembers of the partitions that it collects
-    /// @param call asks a collector for the rows of an encoded query
+    /// @param local_cache rows of the partitions that this gateway collects
+    /// @param call        sends an encoded query to a collector, which replies with encoded rows
     collected_rows(row_store& store, const row_cache& local_cache, peer_directory& peers, peer_call call,
                    std::function<time_point()> clock);
 
     void transact(const row_transaction& transaction, transaction_callback on_reply) override;
-    /// A query that may be answered from memory is answered from it if the row at the beginning of its range
-    /// is remembered.
+    /// If the query accepts cached rows, replies from the collector's cache, provided that the row at the
+    /// start of the range is cached. Otherwise queries the store.
     void query(const row_query& query, query_callback on_reply) override;
     void follow(const std::string& table, row_version version, milliseconds wait,
                 feed_callback on_reply) override;
@@ -47,13 +48,13 @@
     [[nodiscard]] std::optional<duration> direct_path_down_for() const override;
     [[nodiscard]] duration time_since_failure() const override;
 
-    /// Answers a peer's query from the own memory.
-    /// @return encoded rows, none if none is remembered; nothing if the message can't be read
+    /// Handles a peer's encoded query from the local cache only.
+    /// @return the encoded rows, an empty list if none is cached; nothing if the query cannot be decoded
     [[nodiscard]] std::optional<std::string> read_cached(const std::string& bytes) const;
 
   private:
     [[nodiscard]] std::vector<stored_row> find_cached(const row_query& query) const;
-    /// Hands out @a rows, or asks the store if the first of the range is not among them.
+    /// Replies with @a rows, or queries the store if the first row of the range is not among them.
     void reply_or_query_store(const row_query& query, std::vector<stored_row> rows, query_callback on_reply);
 
     row_store& m_store;
--- a/include/masticcourse/gateway/commit_queue.hpp
+++ b/include/masticcourse/gateway/commit_queue.hpp
@@ -1,9 +1,10 @@
 /// @file
-/// Group commit to the store's partitions: few transactions under way for each partition, what comes
-/// meanwhile goes with the next one.
+/// Group commit: limits the transactions in flight per store partition and batches changes that arrive
+/// meanwhile into the next transaction.
 ///
-/// Load pattern: hundreds of small writes a second from many gateways against a store that limits calls, not
-/// bytes. A partition takes one transaction at a time, however many turns end; so many changes share one.
+/// Load pattern: many gateways issue hundreds of small writes per second to a store that limits calls rather
+/// than bytes. A partition processes one transaction at a time regardless of how many turns end, so changes
+/// share transactions.
 #pragma once
 
 #include "masticcourse/gateway/row_memory.hpp"
@@ -22,31 +23,31 @@
 namespace masticcourse::gateway
 {
 
-/// What is applied together: at most one condition, and what to write if it holds. A change without condition
-/// must be one that may be written twice.
+/// Rows that are written atomically if the optional condition holds. A change without a condition must be
+/// idempotent, because it may be written twice.
 struct row_change
 {
     std::optional<row_condition> condition;
     std::vector<row_put> puts;
-    /// Given up if it is not known to be done by then.
+    /// The change fails with `unknown` if it is not confirmed by then.
     time_point expires;
 };
 
 struct change_result
 {
-    /// `done`, `conflict`, or `unknown` if it was given up.
+    /// `done`, `conflict`, or `unknown` if the change expired.
     store_outcome outcome = store_outcome::unknown;
     row_version version = 0;
-    /// After a conflict: the row of the condition, unless it does not exist.
+    /// After a conflict: the current row that the condition names, if it exists.
     std::optional<stored_row> current;
 };
 
 using change_callback = std::function<void(const change_result&)>;
-/// Calls back after a delay.
+/// Invokes a callback after a delay.
 using delay_function = std::function<void(milliseconds, std::function<void()>)>;
 using clock_function = std::function<time_point()>;
 
-/// Where changes go to be written.
+/// Accepts changes for writing to the store.
 class commit_sink
 {
   public:
@@ -57,19 +58,20 @@
     commit_sink& operator=(commit_sink&&) = delete;
     virtual ~commit_sink() = default;
 
-    /// Queues a change; its callback is called once.
+    /// Queues a change. @a on_result is called exactly once.
     virtual void submit(const std::string& partition, row_change change, change_callback on_result) = 0;
 
-    /// @return changes whose result is not known yet
+    /// @return the number of changes whose result is still outstanding
     [[nodiscard]] virtual std::size_t pending() const = 0;
 };
 
-/// Writes by itself.
+/// Writes changes directly to the store.
 class commit_queue final : public commit_sink
 {
   public:
-    /// @param memory_bytes for rows as they were last written or read: versions only grow, so a condition on
-    /// an older one is known to fail, and other gateways read from it
+    /// @param cache_bytes capacity of the cache of rows as last written or read. Versions only increase, so a
+    /// condition on a version older than the cached one is known to fail. Other gateways read from this
+    /// cache.
     commit_queue(row_store& store, delay_function delay, clock_function clock,
                  std::size_t cache_bytes = default_cache_bytes);
 
@@ -86,7 +88,7 @@
     }
 
   private:
-    /// Those of a few thousand programs, some hundred bytes each.
+    /// Enough for the rows of a few thousand programs at a few hundred bytes each.
     static constexpr std::size_t default_cache_bytes = 2'000'000;
 
     struct item
@@ -98,19 +100,19 @@
     struct partition_queue
     {
         item_list waiting;
-        /// Transactions under way, and pauses after a failure.
+        /// Transactions in flight, plus back-off delays after a failure.
         int occupied_slots = 0;
-        /// Failures in a row, for the pause before the next try.
+        /// Consecutive failures; determines the back-off.
         std::uint32_t failures = 0;
-        /// Rows that transactions under way write. A change of one of them waits: its condition would fail,
-        /// and with it the whole transaction that it is in.
+        /// Rows written by transactions in flight. A change to one of these rows waits, because its condition
+        /// would fail and abort the whole transaction that contains it.
         std::set<row_name> being_written;
     };
 
     void send_next_batch(const std::string& partition);
     [[nodiscard]] static item_list take_batch(partition_queue& queue);
     void fail_expired(partition_queue& queue);
-    /// Tells changes whose condition is known to fail at once, without a transaction.
+    /// Reports a conflict, without a transaction, for changes whose condition is known to fail.
     void reject_stale(partition_queue& queue);
     void cache_rows(const item_list& written, row_version version);
     void on_reply(const std::string& partition, item_list batch, const transaction_reply& reply);
--- a/include/masticcourse/gateway/commit_router.hpp
+++ b/include/masticcourse/gateway/commit_router.hpp
@@ -1,16 +1,17 @@
 /// @file
-/// Sends commits to the gateway that collects their partition's, so that the store sees one writer a
-/// partition instead of one a gateway.
+/// Forwards commits to their partition's collector, so that each store partition has one writer instead of
+/// one per gateway.
 ///
-/// Load pattern: tens of gateways that end hundreds of turns a second. Each by itself, hardly two changes
-/// ever share a transaction, and their number fills the store's partitions and its rate. Through collectors
-/// the same changes take a fraction of it.
+/// Load pattern: tens of gateways complete hundreds of turns per second. If each wrote its own changes,
+/// hardly any two would share a transaction, and the transactions would exhaust the partitions' throughput
+/// and the store's rate limit. Batching through collectors needs a fraction of the transactions.
 ///
-/// The same holds while collectors fail: what one did not write goes to the next in rank, so that the number
-/// of writers a partition does not grow with the number of gateways that lost their collector. Only a change
-/// that several collectors left without an answer is written by its own gateway. A change that several
-/// collectors in a row refused waits a moment: probably the store is away for all, and asking on would cost
-/// messages that grow with the square of the gateways.
+/// This also holds while collectors fail: a change that a collector did not write goes to the next one in
+/// rank, so the number of writers per partition does not grow with the number of gateways that lost their
+/// collector. A gateway writes a change itself only after several collectors did not respond to it. After
+/// several consecutive collectors reported that they cannot reach the store, the change is deferred: the
+/// store is probably unreachable for all gateways, and trying further collectors would cost a number of
+/// messages quadratic in the number of gateways.
 #pragma once
 
 #include "masticcourse/gateway/commit_queue.hpp"
@@ -26,19 +27,19 @@
 namespace masticcourse::gateway
 {
 
-/// A change and where it goes.
+/// A change and its partition.
 struct routed_change
 {
     std::string partition;
     row_change change;
 };
 
-/// @name On the wire between gateways
+/// @name Wire format between gateways
 /// @{
 
-/// @param now what the changes' expiry is told relative to
+/// @param now reference time; expiry times are encoded relative to it
 [[nodiscard]] std::string encode_changes(const std::vector<routed_change>& changes, time_point now);
-/// @return nothing if @a bytes are no such message
+/// @return nothing if @a bytes cannot be decoded
 [[nodiscard]] std::optional<std::vector<routed_change>> decode_changes(const std::string& bytes,
                                                                        time_point now);
 [[nodiscard]] std::string encode_results(const std::vector<change_result>& results);
@@ -47,21 +48,21 @@
 
 enum class collector_outcome : std::uint8_t
 {
-    /// The changes were taken; their results are known.
+    /// The collector processed the changes and returned their results.
     collected,
-    /// The collector can't reach the store itself: it took nothing.
+    /// The collector cannot reach the store directly and accepted no change.
     store_unreachable,
-    /// No answer, or none that can be read: what was done is not known.
+    /// No reply, or one that cannot be decoded: the changes may or may not have been written.
     no_answer,
 };
 
-/// What a collector says to one message.
+/// A collector's reply to one message.
 struct collector_answer
 {
     collector_outcome outcome = collector_outcome::no_answer;
-    /// Encoded results; empty unless collected.
+    /// Encoded results; empty unless the outcome is `collected`.
     std::string results;
-    /// How long the collector has lacked the store.
+    /// How long the collector has been unable to reach the store.
     milliseconds unreachable_for{};
 };
 
@@ -72,17 +73,19 @@
 class commit_router final : public commit_sink
 {
   public:
-    /// @param own writes what this gateway collects, and what a collector does not answer for
+    /// @param own writes the changes that this gateway collects, and those for which collectors do not
+    /// respond
     commit_router(commit_sink& own, const row_store& store, peer_directory& peers, collector_call call,
                   delay_function delay, clock_function clock);
 
     void submit(const std::string& partition, row_change change, change_callback on_result) override;
     [[nodiscard]] std::size_t pending() const override;
 
-    /// Writes what another gateway sent. The results come soon whatever the store does: what is not known by
-    /// then is told as unknown, and its sender sends it again. So a slow store never looks like a silent
-    /// collector; senders that took it for one and all wrote by themselves would keep the store slow.
-    /// @param on_done takes the results; `no_answer` if the message can't be read or is empty
+    /// Writes changes forwarded by another gateway. The reply is sent within a fixed time regardless of the
+    /// store: results that are not available by then are reported as unknown, and the sender resends those
+    /// changes. Otherwise a slow store would look like an unresponsive collector, the senders would all write
+    /// directly, and their load would keep the store slow.
+    /// @param on_done receives the results; `no_answer` if the message is empty or cannot be decoded
     void collect(const std::string& bytes, collector_callback on_done);
 
   private:
@@ -90,9 +93,9 @@
     {
         routed_change change;
         change_callback on_result;
-        /// Collectors that it was sent to and that did not answer.
+        /// Number of collectors that did not respond to it.
         int unanswered_sends = 0;
-        /// Collectors that lacked the store, since it was last held.
+        /// Number of collectors that could not reach the store since the change was last deferred.
         int refusals = 0;
     };
     using item_list = std::vector<item>;
@@ -102,23 +105,24 @@
         int in_flight = 0;
     };
 
-    /// Sends changes to their collectors, those of one collector together, and writes what is this gateway's.
+    /// Sends changes to their collectors, batched by collector, and writes those that this gateway collects.
     void route(item_list items);
-    /// Puts a change into its collector's outbox, writes it, or holds it.
-    /// @return the collector, if it is in an outbox now
+    /// Puts a change into its collector's outbox, submits it to the local queue, or defers it.
+    /// @return the collector, if the change was put into an outbox
     std::optional<std::string> dispatch(item it);
     void send(const std::string& collector);
-    /// Keeps a change until it may be tried again.
+    /// Keeps a change until the next scheduled retry.
     void defer(item it);
     void schedule_retry();
     void retry_deferred();
-    /// A collector lacks the store: its changes go to the next in rank, or wait if several lack it.
+    /// Routes changes whose collector cannot reach the store to the next one in rank, or defers them once
+    /// several collectors in a row could not reach it.
     void route_refused(item_list refused);
-    /// Finds another way for what waits for a collector that does not answer.
+    /// Routes the changes waiting in a failed collector's outbox again.
     void reroute(const std::string& collector);
     void on_answer(const std::string& collector, item_list sent, const collector_answer& answer);
     void on_results(item_list sent, const std::vector<change_result>& results);
-    /// The collector did not do its work; @a answer says why.
+    /// Handles a collector that did not process the changes; @a answer gives the reason.
     void on_failure(const std::string& collector, item_list sent, const collector_answer& answer);
     void resend_later(item it);
 
@@ -129,10 +133,10 @@
     delay_function m_delay;
     clock_function m_clock;
     std::unordered_map<std::string, outbox> m_outboxes;
-    /// What waits until it may be tried again; in the order in which it came.
+    /// Changes waiting for the next retry, in order of arrival.
     item_list m_deferred;
     bool m_retry_scheduled = false;
-    /// Until what is held is tried again; longer with each time that it was in vain.
+    /// Delay before deferred changes are retried; grows with each unsuccessful retry.
     milliseconds m_retry_delay{};
     bool m_was_unreachable = false;
     std::size_t m_forwarded = 0;
--- a/include/masticcourse/gateway/peer_directory.hpp
+++ b/include/masticcourse/gateway/peer_directory.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The other gateways: who is there, who answers, and who collects the commits of a partition.
+/// Directory of the other gateways: which ones exist, which respond, and which one collects the commits of a
+/// partition.
 #pragma once
 
 #include "masticcourse/gateway/time.hpp"
@@ -16,16 +17,16 @@
 namespace masticcourse::gateway
 {
 
-/// Takes a peer's answer, or nothing if it gave none.
+/// Receives a peer's reply, or nothing if there was none.
 using peer_callback = std::function<void(std::optional<std::string>)>;
-/// Sends encoded bytes to a peer.
+/// Sends an encoded message to a peer.
 using peer_call = std::function<void(const std::string& address, std::string bytes, peer_callback)>;
 
 struct peer
 {
     /// "ip:port"
     std::string address;
-    /// Its processor time, in cores: how much it may be given to do for others.
+    /// CPU allotment in cores; weights the share of work that it does for other gateways.
     double cores = 1;
 };
 
@@ -34,53 +35,57 @@
   public:
     explicit peer_directory(peer self) : m_self(std::move(self)) {}
 
-    /// Replaces the list; the own entry may be in it.
+    /// Replaces the list of peers; the entry of this gateway is ignored.
     void set(std::vector<peer> peers);
 
-    /// How many other gateways there are.
+    /// @return the number of other gateways
     [[nodiscard]] std::size_t size() const
     {
         return m_others.size();
     }
 
-    /// @return how many gateways have the processor time to do work for others, this one included if it is
-    /// one of them; all of them if none has
+    /// @return the number of gateways, possibly including this one, that have enough CPU to do work for
+    /// others; the number of all gateways if none has
     [[nodiscard]] std::size_t eligible_gateways() const;
-    /// Whether this gateway is one of them.
+    /// @return whether this gateway is counted by eligible_gateways()
     [[nodiscard]] bool is_eligible() const;
 
-    /// Paces what every gateway does at one place, so that the load there does not grow with their number.
-    /// @param least       the period on a small site
-    /// @param per_gateway the part of the period that each gateway gets for itself
-    /// @return how often each of them may do it
+    /// Scales the interval of a periodic operation that all gateways perform on one shared resource, so that
+    /// its load does not grow with their number.
+    /// @param minimum     the interval at small sites
+    /// @param per_gateway interval per gateway, multiplied by their number
+    /// @return the interval at which each gateway may perform the operation
     [[nodiscard]] milliseconds scaled_interval(milliseconds minimum, milliseconds per_gateway) const;
 
-    /// @param preferred comes first if it is among them
-    /// @return other gateways that answered when last asked, in random order, at most @a most
+    /// @param preferred address that comes first if it is among the chosen ones
+    /// @return at most @a max_count other gateways that are not excluded, in random order
     [[nodiscard]] std::vector<std::string> choose(std::size_t max_count, time_point now,
                                                   std::string_view preferred = {});
 
-    /// Every gateway that knows the same peers names the same one, by weighted rendezvous hashing. They need
-    /// not agree: two that write one partition cost a conflict, not more.
-    /// @param self_lacks_store this gateway can't reach the store itself: it collects only if nobody else
-    /// does
+    /// Selects the collector by weighted rendezvous hashing, so that gateways with the same view of their
+    /// peers select the same one. Agreement is not required: two writers of a partition only cause conflicts.
+    /// @param self_store_unreachable this gateway cannot reach the store directly, so it collects only if no
+    /// other gateway can
     /// @return the gateway that collects the commits of @a partition, or nothing if it is this one
     [[nodiscard]] std::optional<std::string> collector_of(std::string_view partition, time_point now,
                                                           bool self_store_unreachable = false) const;
 
-    /// The same, whether it reaches the store or not: it remembers what it has written.
+    /// Like collector_of(), but regardless of whether the collector can reach the store, since it can still
+    /// reply from its cache of written rows.
     [[nodiscard]] std::optional<std::string> collector_ignoring_store(std::string_view partition,
                                                                       time_point now) const;
 
     void answered(const std::string& address);
-    /// It did not answer: it is left out for a while, longer with each failure in a row.
+    /// Records that a peer did not respond. It is excluded for a time that grows with consecutive failures.
     void failed(const std::string& address, time_point now);
-    /// It is being asked after a pause: until it answers, it is left out for others.
+    /// Called when a request is sent to a peer. If the peer failed before and has not responded since, it is
+    /// excluded from further requests until it responds or the probe times out.
     void start_probe(const std::string& address, time_point now);
-    /// It answered that it can't reach the store itself: it is left out for a short while, longer if it has
-    /// lacked the store for long.
+    /// Records that a peer replied that it cannot reach the store directly. It is excluded for a short time,
+    /// or for longer if it has been unable to reach the store for long.
     void mark_store_unreachable(const std::string& address, time_point now, duration unreachable_for = {});
-    /// The store is back for this gateway, and probably for those that lacked it too.
+    /// Called when this gateway reaches the store again. Lifts all exclusions for an unreachable store, since
+    /// the other gateways have probably recovered too.
     void clear_store_unreachable();
 
   private:
@@ -88,15 +93,15 @@
 
     struct exclusion
     {
-        /// Silences in a row.
+        /// Consecutive requests without a response.
         std::uint32_t failures = 0;
         time_point silent_until{};
         time_point store_excluded_until{};
     };
 
-    /// Whether it did not answer lately.
+    /// @return whether the peer is excluded because it did not respond
     [[nodiscard]] bool silent(const std::string& address, time_point now) const;
-    /// Whether it did not answer lately, or lacked the store.
+    /// @return whether the peer is excluded because it did not respond or could not reach the store
     [[nodiscard]] bool excluded(const std::string& address, time_point now) const;
     template <typename Predicate>
     [[nodiscard]] std::optional<std::string> highest_ranked(std::string_view partition, Predicate skip,
--- a/include/masticcourse/gateway/peer_list.hpp
+++ b/include/masticcourse/gateway/peer_list.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The list of gateways in the store: each keeps up its own entry and reads the others'.
+/// Gateway discovery through the store: each gateway refreshes its own entry and reads the others'.
 #pragma once
 
 #include "masticcourse/gateway/commit_queue.hpp"
@@ -16,17 +16,17 @@
 class peer_list
 {
   public:
-    /// @param node names the own entry
+    /// @param node key of this gateway's entry
     peer_list(row_store& store, peer_directory& peers, std::string node, peer self, delay_function delay,
               clock_function clock);
 
     void start();
 
-    /// Takes the own entry off the list.
+    /// Removes this gateway's entry from the list.
     void leave();
 
   private:
-    /// When an entry was last seen to change.
+    /// Version of an entry and the time at which this gateway first saw that version.
     struct last_change
     {
         row_version version = 0;
--- a/include/masticcourse/gateway/turn_store.hpp
+++ b/include/masticcourse/gateway/turn_store.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Finished turns of programs: kept in the store, each under its own id, and remembered here. Any gateway can
-/// put together the prompt of the next turn from its predecessor's id alone.
+/// Stores completed turns of programs under their ids and caches them locally. Any gateway can build the
+/// prompt of the next turn from the id of its predecessor alone.
 #pragma once
 
 #include "masticcourse/gateway/commit_queue.hpp"
@@ -18,17 +18,17 @@
 namespace masticcourse::gateway
 {
 
-/// A turn that was answered whole.
+/// A turn that was answered completely.
 struct turn_record
 {
-    /// The turns before it, oldest first; the last one is its direct predecessor. A reader that knows none of
-    /// them fetches all at once instead of one after the other.
+    /// The preceding turns, oldest first; the last one is the direct predecessor. With the whole list, a
+    /// reader that has cached none of them can fetch them concurrently instead of one after the other.
     std::vector<request_id> ancestors;
-    /// What the caller sent.
+    /// Input sent by the caller.
     std::string input;
-    /// The data of its events, each with a line feed behind it.
+    /// Data of the turn's events, each followed by a line feed.
     std::string output;
-    /// Where the target that ran it lies; empty if that is not known.
+    /// Failure domain of the target that ran the turn; empty if unknown.
     failure_domain_name domain;
 
     friend bool operator==(const turn_record&, const turn_record&) = default;
@@ -36,19 +36,19 @@
 
 using turn_ptr = std::shared_ptr<const turn_record>;
 
-/// @return the record in pieces that each fit a row
+/// @return the encoded record, split into chunks that each fit into a row
 [[nodiscard]] std::vector<std::string> encode_turn(const turn_record& turn, std::size_t row_bytes);
-/// @return nothing if the pieces are no whole record
+/// @return nothing if the chunks do not form a complete record
 [[nodiscard]] std::optional<turn_record> decode_turn(const std::vector<std::string>& chunks);
 
-/// Records by id, the least recently used given up first.
+/// LRU cache of turns by id.
 class turn_cache
 {
   public:
     explicit turn_cache(std::size_t capacity_bytes) : m_capacity(capacity_bytes) {}
 
     void put(const request_id& id, turn_ptr turn);
-    /// @return null if it is not kept
+    /// @return null if the turn is not cached
     [[nodiscard]] turn_ptr get(const request_id& id);
     [[nodiscard]] std::size_t bytes() const
     {
@@ -75,38 +75,39 @@
 enum class chain_outcome : std::uint8_t
 {
     found,
-    /// The store has no such turn.
+    /// The store does not have the turn.
     missing,
-    /// The store could not be asked.
+    /// The store could not be queried, or the record could not be decoded.
     unavailable,
 };
 
-/// What a turn goes on from.
+/// The preceding turns that a new turn continues.
 struct turn_chain
 {
     chain_outcome outcome = chain_outcome::unavailable;
-    /// The ids of the turns, oldest first.
+    /// Ids of the turns, oldest first.
     std::vector<request_id> turns;
-    /// Their inputs and outputs, in the order in which a target is to read them.
+    /// Inputs and outputs of the turns, in the order in which the target reads them.
     std::string prompt;
-    /// Where the target that ran the last of them lies; empty if that is not known.
+    /// Failure domain of the target that ran the last turn; empty if unknown.
     failure_domain_name domain;
 };
 
 using chain_callback = std::function<void(turn_chain)>;
-/// Tells whether a turn is durable.
+/// Receives whether the turn was stored durably.
 using save_callback = std::function<void(bool)>;
 
 class turn_store
 {
   public:
-    /// @param row_bytes the most that one row of the store holds
+    /// @param row_bytes maximum size of a store row
     turn_store(row_store& store, commit_sink& commits, std::size_t cache_bytes, std::size_t row_bytes);
 
-    /// Puts together the chain that ends with @a last. Calls back once, at once if all of it is remembered.
+    /// Loads the chain of turns that ends with @a last. Calls @a on_chain once, synchronously if all of its
+    /// turns are cached.
     void load_chain(const request_id& last, chain_callback on_chain);
 
-    /// Makes a turn durable; tried until @a expires.
+    /// Stores a turn durably; retries until @a expires.
     void save(const request_id& id, turn_record turn, time_point expires, save_callback on_saved);
 
   private:
--- a/src/gateway/collected_rows.cpp
+++ b/src/gateway/collected_rows.cpp
@@ -24,7 +24,7 @@
         m_store.query(query, std::move(on_reply));
         return;
     }
-    // Without the store there are no newer rows than those that the last collector remembers.
+    // While the store is unreachable, no rows are newer than those cached by the last collector.
     const auto now = m_clock();
     const auto collector = m_store.reachable() ? m_peers.collector_of(query.partition, now)
                                                : m_peers.collector_ignoring_store(query.partition, now);
@@ -36,8 +36,8 @@
     m_call(*collector, encode_query(query),
            [this, query, on_reply = std::move(on_reply)](const std::optional<std::string>& bytes) mutable
            {
-               // Silence is no reason to leave the collector out: the store is asked then, and a gateway too
-               // slow for this may still write commits in time.
+               // A missing reply does not exclude the collector: the store is queried instead, and a gateway
+               // that is too slow for this read may still write commits in time.
                auto rows = bytes ? decode_rows(*bytes) : std::nullopt;
                reply_or_query_store(query, std::move(rows).value_or(std::vector<stored_row>{}),
                                     std::move(on_reply));
@@ -47,7 +47,8 @@
 void collected_rows::reply_or_query_store(const row_query& query, std::vector<stored_row> rows,
                                           query_callback on_reply)
 {
-    // Other rows of the range say nothing of the first one: its key may be just the beginning of theirs.
+    // Other rows in the range do not imply that the first one is cached: its key may merely be a prefix of
+    // theirs.
     if (rows.empty() || rows.front().name.key != query.from)
     {
         m_store.query(query, std::move(on_reply));
--- a/src/gateway/commit_codec.cpp
+++ b/src/gateway/commit_codec.cpp
@@ -1,5 +1,5 @@
-// How changes, their results, remembered rows and overdrafts travel between gateways: CBOR, arrays in a fixed
-// order.
+// Wire format of changes, their results, cached rows and overdrafts between gateways: CBOR arrays whose
+// elements have a fixed order.
 #include "cbor_messages.hpp"
 
 #include "masticcourse/gateway/collected_rows.hpp"
@@ -90,8 +90,8 @@
         {static_cast<int>(it.outcome), it.version, it.current ? to_json(*it.current) : json{}});
 }
 
-/// @param last the greatest value of the enumeration
-/// @throws std::out_of_range for a number that names none of its values
+/// @param last the greatest enumerator
+/// @throws std::out_of_range if the number corresponds to no enumerator
 template <typename Enum>
 Enum to_enum(const json& it, Enum last)
 {
--- a/src/gateway/commit_queue.cpp
+++ b/src/gateway/commit_queue.cpp
@@ -10,15 +10,15 @@
 namespace
 {
 
-/// Transactions of one partition under way: the second is on its way while the store works on the first.
+/// Transactions in flight per partition: the second is transmitted while the store processes the first.
 constexpr int max_in_flight = 2;
-/// Rows and conditions of one transaction, below the 100 that the store takes.
+/// Rows and conditions per transaction; the store's limit is 100.
 constexpr std::size_t max_batch_entries = 90;
-/// Bytes of one transaction; the store takes 1 MB, and base64 makes four bytes of three.
+/// Payload bytes per transaction. The store's limit is 1 MB, and base64 encodes three bytes as four.
 constexpr std::size_t max_batch_bytes = 600'000;
-/// The pause after a failure, doubled with each further one up to the longest: short enough that a turn ends
-/// within a few tens of milliseconds of the store's return, long enough that all gateways together stay far
-/// below the store's rate while it refuses.
+/// Exponential back-off after failures: short enough that a turn completes within a few tens of milliseconds
+/// of the store's recovery, long enough that all gateways together stay far below the store's rate limit
+/// while it refuses calls.
 constexpr milliseconds initial_backoff{25};
 constexpr milliseconds max_backoff{200};
 
@@ -116,8 +116,8 @@
     {
         const bool full = entries + entries_of(it.change) > max_batch_entries ||
                           bytes + bytes_of(it.change) > max_batch_bytes;
-        // Two changes of one row never share a transaction: both conditions would hold, and the later would
-        // undo the earlier.
+        // Two changes to the same row never share a transaction: both conditions would hold, and the second
+        // write would overwrite the first.
         if ((full && !batch.empty()) || writes_any(it.change, queue.being_written))
         {
             remaining.push_back(std::move(it));
@@ -156,7 +156,7 @@
 {
     for (const auto& it : written)
     {
-        // Rows that belong together are remembered together or not at all: no reader meets a part of them.
+        // Changes of several rows are not cached, so that no reader sees only some of the rows.
         if (it.change.puts.size() == 1)
         {
             const auto& put = it.change.puts.front();
@@ -245,7 +245,7 @@
     const auto bound =
         std::min(initial_backoff * (1 << std::min(queue.failures, max_backoff_shift)), max_backoff);
     ++queue.failures;
-    // Half of the pause is random, so that gateways refused together do not come back together.
+    // Jitter over half of the back-off prevents gateways that failed together from retrying together.
     std::uniform_int_distribution<milliseconds::rep> part(bound.count() / 2, bound.count());
     m_delay(milliseconds{part(m_random)},
             [this, partition]
--- a/src/gateway/commit_router.cpp
+++ b/src/gateway/commit_router.cpp
@@ -14,22 +14,23 @@
 namespace
 {
 
-/// Messages to one collector under way: enough that a change seldom waits for an earlier one's transaction,
-/// few enough that a busy gateway's changes share messages.
+/// Messages in flight per collector: enough that a change seldom waits for an earlier change's transaction,
+/// few enough that the changes of a busy gateway share messages.
 constexpr int max_in_flight = 4;
 
-/// Within this time a collector answers: several transactions' time, well under what a sender waits for it.
+/// Time within which a collector replies: long enough for several transactions, well below the sender's
+/// timeout.
 constexpr milliseconds max_collect_time{400};
-/// Until what could not be written yet is tried again, doubled each time that it is in vain.
+/// Delay before changes that could not be written are retried; doubles with each unsuccessful retry.
 constexpr milliseconds initial_retry_delay{25};
 constexpr milliseconds max_retry_delay{200};
-/// After that many collectors in a row that lack the store, a change waits before others are asked.
+/// A change is deferred after this many consecutive collectors could not reach the store.
 constexpr int max_refusals = 3;
-/// After that many collectors without an answer, a change is written by its own gateway: perhaps it is the
-/// one that the others don't reach.
+/// After this many collectors did not respond, a change is written by its own gateway, which may itself be
+/// the one that is disconnected from its peers.
 constexpr int max_unanswered_sends = 2;
 
-/// The results of one message's changes as they come in.
+/// Gathers the results for the changes of one message.
 struct pending_results
 {
     std::vector<change_result> results;
@@ -227,8 +228,8 @@
 {
     if (!m_store.reachable())
     {
-        // Nobody can write now. The collector stays the one, so that the store's return does not find many
-        // writers.
+        // Nobody can write to the store at present. The collector is kept, so that the store does not face
+        // many writers per partition when it recovers.
         std::ranges::for_each(sent, [this](item& it) { defer(std::move(it)); });
         return;
     }
@@ -244,8 +245,8 @@
     else
     {
         m_peers.failed(collector, m_clock());
-        // What the collector did is not known. Written once more, a change does no harm: it holds under its
-        // condition, or may be written twice.
+        // The collector may have written the changes. Writing them again is safe: a change is either guarded
+        // by its condition or idempotent.
         std::ranges::for_each(sent, [](item& it) { ++it.unanswered_sends; });
         route(std::move(sent));
     }
@@ -282,7 +283,7 @@
     for (std::size_t i = 0; i < changes->size(); ++i)
     {
         auto& it = (*changes)[i];
-        // Not kept longer than its sender is told: it comes again.
+        // Expires when the reply is due: after that, the sender sends the change again.
         it.change.expires = std::min(it.change.expires, now + max_collect_time);
         m_own.submit(it.partition, std::move(it.change),
                      [collected, i](const change_result& result)
--- a/src/gateway/peer_calls.cpp
+++ b/src/gateway/peer_calls.cpp
@@ -13,18 +13,19 @@
 namespace
 {
 
-/// How long a collector may take before its sender turns to another: well above a transaction whose answer
-/// was lost once, and above the time within which collectors answer whatever the store does.
+/// Time after which the sender turns to another collector: well above the duration of a transaction whose
+/// reply was lost once, and above the time within which collectors reply regardless of the store.
 constexpr milliseconds collect_timeout{800};
 constexpr milliseconds collect_connect_timeout{100};
-/// How long a collector may take to say what it remembers: the store, which is asked then, is not far.
+/// Timeout of a query of a collector's cached rows. It is short because the store, which is queried after it,
+/// replies quickly.
 constexpr milliseconds row_query_timeout{100};
 
-/// How long the holder of an overdraft, or of a slice of a quota, may take to answer: it asks nobody itself,
-/// and the request waits meanwhile.
+/// Timeout for the holder of an overdraft or of a quota slice. The holder replies without further calls, and
+/// the caller's request waits meanwhile.
 constexpr milliseconds holder_timeout{100};
 
-/// How long a collector has lacked the store, in ms.
+/// Header: for how long the collector has been unable to reach the store, in ms.
 const std::string unreachable_for_header = "Lacked-Store-Ms";
 
 constexpr int status_ok = 200;
--- a/src/gateway/peer_calls.hpp
+++ b/src/gateway/peer_calls.hpp
@@ -1,6 +1,5 @@
 /// @file
-/// What gateways ask of each other over HTTP: to collect commits, what they remember of rows, overdrafts,
-/// and portions of quotas.
+/// HTTP calls between gateways: forwarded commits, queries of cached rows, overdrafts and quota portions.
 #pragma once
 
 #include "masticcourse/gateway/collected_rows.hpp"
@@ -14,7 +13,7 @@
 namespace masticcourse::gateway::detail
 {
 
-/// The asking side.
+/// Client side.
 class peer_calls
 {
   public:
@@ -26,16 +25,16 @@
     void quota(const std::string& address, std::string question, peer_callback on_answer);
 
   private:
-    /// Asks for what does no harm if it is asked twice.
+    /// Sends a request that may safely be repeated.
     void send_idempotent(http_client_request request, milliseconds timeout, peer_callback on_answer);
 
     http_client m_client;
 };
 
-/// @name The answering side
+/// @name Server side
 /// @{
 [[nodiscard]] http_response to_response(const collector_answer& answer);
-/// @param answer nothing if the question could not be read
+/// @param answer nothing if the request could not be decoded
 [[nodiscard]] http_response to_response(std::optional<std::string> answer);
 /// @}
 
--- a/src/gateway/peer_directory.cpp
+++ b/src/gateway/peer_directory.cpp
@@ -13,23 +13,24 @@
 namespace
 {
 
-/// How long a gateway that did not answer is left out; doubled with each failure in a row. A frozen one is
-/// back within seconds; one that is gone for good costs one late commit in twenty.
+/// Exclusion of a gateway that did not respond; doubles with each consecutive failure. A gateway that froze
+/// temporarily returns within seconds; one that is permanently gone delays one commit in twenty.
 constexpr milliseconds initial_exclusion{1'500};
 constexpr milliseconds max_exclusion{20'000};
-/// How long one that can't reach the store is left out at least: it looks for the way back about as often.
-/// Longer pauses after an outage for all would leave gateways with different collectors.
+/// Minimum exclusion of a gateway that cannot reach the store; it probes the store about as often. Longer
+/// exclusions after a global outage would leave the gateways with different collectors.
 constexpr milliseconds min_store_exclusion{300};
-/// One that has lacked the store for long is left out for half as long again, up to this: so many askers
-/// cost it little, and its partitions are back with it soon enough.
+/// A gateway is excluded for half of the time that it has been unable to reach the store, up to this limit:
+/// long enough that requests from many gateways are cheap for it, short enough that its partitions return to
+/// it soon after it recovers.
 constexpr milliseconds max_store_exclusion{2'400};
 constexpr int store_exclusion_divisor = 2;
 
-/// How long a silent gateway that is asked again may take to answer before others ask it too.
+/// Time that an unresponsive gateway has to reply to a probe before further requests are sent to it.
 constexpr milliseconds probe_timeout{1'000};
 
-/// With less processor time a VM collects, or holds what others ask for, only if none has more: it could not
-/// keep up with them.
+/// A VM with less CPU collects commits, or holds state that other gateways request, only if no VM has more,
+/// because it could not keep up with their requests.
 constexpr double min_eligible_cores = 0.15;
 
 bool has_min_cores(const peer& it)
@@ -37,8 +38,8 @@
     return it.cores >= min_eligible_cores;
 }
 
-/// Weighted rendezvous hashing: each peer is chosen in proportion to its weight, and only the partitions of a
-/// peer that leaves move (Schindelhauer and Schomaker, 2005).
+/// Weighted rendezvous hashing (Schindelhauer and Schomaker, 2005): peers are selected in proportion to their
+/// weights, and when a peer leaves, only its partitions are reassigned.
 double score(const peer& it, std::string_view partition)
 {
     const auto seed = XXH3_64bits(partition.data(), partition.size());
--- a/src/gateway/peer_list.cpp
+++ b/src/gateway/peer_list.cpp
@@ -10,15 +10,16 @@
 namespace
 {
 
-/// Peers find each other in this table: node name to "ip:port".
+/// Table of gateways: maps a node name to "ip:port" and the CPU allotment in cores.
 const std::string peer_table = "gateways";
-/// How often the list of peers is read at least: a new one is known that much later.
+/// Minimum interval between reads of the peer list, and thus the delay until a new peer is discovered.
 constexpr milliseconds min_read_interval{3'000};
-/// All gateways read entries of all: the time between two readings grows with their number beyond this many
-/// readings a second, so that what the store hands out grows no faster than they do.
+/// Every gateway reads the entries of all. The read interval grows by this much per gateway once it exceeds
+/// the minimum, which limits all gateways together to 50 reads per second, so that the rows that the store
+/// returns grow only linearly with the number of gateways.
 constexpr milliseconds read_interval_per_gateway{20};
-/// How often the own entry is written anew, and how long one that is not counts: a gateway that is gone is
-/// off the list after two writes that did not come.
+/// Interval at which a gateway refreshes its entry, and the age at which an entry that was not refreshed
+/// expires: a gateway that is gone is removed from the list after two missed refreshes.
 constexpr milliseconds announce_interval{10'000};
 constexpr milliseconds entry_ttl{25'000};
 } // namespace
--- a/src/gateway/turn_store.cpp
+++ b/src/gateway/turn_store.cpp
@@ -16,9 +16,9 @@
 {
 
 const std::string turn_table = "turns";
-/// Stands between a turn's id and the number of a further piece; ids hold no such character.
+/// Separates a turn's id from the number of a further chunk; ids never contain this character.
 constexpr char chunk_separator = '~';
-/// Behind a turn's id: the end of the range that holds all its pieces.
+/// Appended to a turn's id, it gives the end of the key range of its chunks.
 constexpr std::string_view chunk_range_suffix = "~~";
 
 std::string chunk_key(const request_id& id, std::size_t chunk)
@@ -100,7 +100,7 @@
 
 std::size_t turn_cache::size_of(const entry& it)
 {
-    /// List node, index node and control block, about.
+    /// Approximate size of the list node, index node and control block.
     constexpr std::size_t overhead = 256;
     const auto ids = it.turn->ancestors.size() * sizeof(request_id);
     return overhead + ids + it.turn->input.size() + it.turn->output.size();
@@ -134,7 +134,7 @@
     return it->second->turn;
 }
 
-/// A chain being put together.
+/// State of a load_chain() call in progress.
 struct turn_store::chain_load
 {
     std::vector<request_id> ids;
@@ -171,7 +171,8 @@
 {
     load->turns.resize(load->ids.size());
     load->turns.back() = last;
-    // One more than is missing, so that answers from the cache don't end the load before all are asked for.
+    // One more than the number of fetches, so that replies from the cache do not complete the load before all
+    // turns are requested.
     load->outstanding = load->ids.size();
     for (std::size_t i = 0; i + 1 < load->ids.size(); ++i)
     {
@@ -210,12 +211,13 @@
         on_turn(chain_outcome::found, std::move(turn));
         return;
     }
-    const row_query query{.table = turn_table,
-                          .partition = partition_of(id.value),
-                          .from = id.value,
-                          .to = id.value + std::string{chunk_range_suffix},
-                          // A turn never changes.
-                          .allow_cached = true};
+    const row_query query{
+        .table = turn_table,
+        .partition = partition_of(id.value),
+        .from = id.value,
+        .to = id.value +
+              std::string{chunk_range_suffix}, // Turns are immutable, so cached rows are always current.
+        .allow_cached = true};
     m_store.query(query,
                   [this, id, on_turn = std::move(on_turn)](const query_reply& reply)
                   {
@@ -228,7 +230,7 @@
                       auto turn = decode_turn(chunks);
                       if (!turn)
                       {
-                          // A record that is there and can't be read is not a turn that never was.
+                          // A record that exists but cannot be decoded must not be reported as missing.
                           on_turn(chunks.empty() ? chain_outcome::missing : chain_outcome::unavailable,
                                   nullptr);
                           return;
--- a/tests/unit/test_gateway_collected_rows.cpp
+++ b/tests/unit/test_gateway_collected_rows.cpp
@@ -1,4 +1,4 @@
-// What a gateway learns from the one that collects a partition's commits, with and without the store.
+// Reads of rows cached by a partition's collector, with and without a reachable store.
 #include "masticcourse/gateway/collected_rows.hpp"
 #include "masticcourse/gateway/commit_router.hpp"
 #include "masticcourse/gateway/partition.hpp"
@@ -28,7 +28,7 @@
 constexpr std::size_t cache_bytes = 1'000'000;
 constexpr std::size_t row_bytes = 500;
 
-/// Three gateways that reach each other, each with its own way to the same rows.
+/// Three connected gateways, each with its own connection to the same rows.
 struct peer_read_world
 {
     struct member
@@ -164,7 +164,7 @@
     CHECK(memory.find({"t", "k99"}) != nullptr);
 }
 
-// Load pattern: the store is away for all, and callers who try again reach gateways that have not seen their
+// Load pattern: during a global store outage, retries of callers reach gateways that have not served their
 // program before.
 TEST_CASE("while the store is away, a gateway goes on with a program that only others have seen")
 {
@@ -175,7 +175,7 @@
     for (const auto mode : {store_mode::refusing, store_mode::unresponsive})
     {
         world.set_store_mode(mode);
-        // Each has asked the others for a way to the store, and found none.
+        // Each gateway has asked the others to relay calls to the store, without success.
         for (auto& it : world.members)
         {
             for (const auto* const asked : {"0", "1", "2"})
@@ -216,8 +216,9 @@
     CHECK(world.queries() >= before + 1);
 }
 
-// The fault soak found it: a turn that a collector had forgotten, or written before its restart, was taken
-// for one that never was, if the collector remembered another turn whose id begins like it.
+// Regression test for a failure found by the fault soak: a turn that a collector had evicted, or had written
+// before its restart, was reported as missing if the collector had cached a turn whose id has the first id as
+// a prefix.
 TEST_CASE("a turn is found in the store though only others, whose ids begin alike, are remembered")
 {
     peer_read_world world;
@@ -235,8 +236,8 @@
     CHECK(chain.prompt == "in a;out a\n");
 }
 
-// Load pattern: machines that turn slow. One that takes long to say what it remembers still writes commits in
-// time; if its askers left it out, all would write by themselves.
+// Load pattern: VMs that become slow. A collector that is slow to reply to reads still writes commits in
+// time. If the gateways that query it excluded it, they would all write directly to the store.
 TEST_CASE("a collector that does not say what it remembers stays the collector")
 {
     peer_read_world world;
@@ -266,7 +267,7 @@
 {
     peer_read_world world;
     REQUIRE(world.reserve(0, "one", 900, true) == reservation_outcome::granted);
-    // Another gateway settles under the row's version without the collector's knowledge.
+    // Another gateway settles, conditional on the row's version, and bypasses the collector.
     const auto row = world.rows.read({.table = "spending", .partition = partition_of("p")}).rows.at(0);
     REQUIRE(world.rows
                 .apply({.partition = partition_of("p"),
--- a/tests/unit/test_gateway_commits.cpp
+++ b/tests/unit/test_gateway_commits.cpp
@@ -1,4 +1,4 @@
-// Group commit: batches, conflicts of one change among many, refusals, lost answers, time that is over.
+// Group commit: batching, a conflict of one change in a batch, refusals, lost replies and expiry.
 #include "masticcourse/gateway/commit_queue.hpp"
 
 #include "support/memory_rows.hpp"
@@ -68,7 +68,7 @@
     }
     world.time.run(1s);
     CHECK(world.count(store_outcome::done) == 400);
-    // 90 entries a transaction, two a change: 45 of them.
+    // A transaction holds 90 entries, a change has two: 45 changes per transaction.
     CHECK(world.rows.transactions() >= 9);
 }
 
@@ -127,7 +127,7 @@
     commit_world world;
     world.put("first");
     world.put("second");
-    // Both wait behind the transactions under way, and would share the next one.
+    // All of these wait behind the transactions in flight and would share the next one.
     for (int n = 0; n < 3; ++n)
     {
         world.put("row", 0);
@@ -163,6 +163,6 @@
     world.time.run(100ms);
     CHECK(world.count(store_outcome::done) == 2);
     CHECK(world.count(store_outcome::conflict) == 1);
-    // The conflict was known without asking the store.
+    // The conflict was detected without a call to the store.
     CHECK(world.rows.transactions() == 2);
 }
--- a/tests/unit/test_gateway_peers.cpp
+++ b/tests/unit/test_gateway_peers.cpp
@@ -1,4 +1,4 @@
-// Which gateways answer, who collects a partition's commits, and what happens when a collector does not.
+// Responsiveness of peers, selection of collectors, and failover when a collector fails.
 #include "masticcourse/gateway/commit_router.hpp"
 #include "masticcourse/gateway/peer_directory.hpp"
 #include "masticcourse/gateway/peer_list.hpp"
@@ -36,7 +36,7 @@
     return peers;
 }
 
-/// Gateways that reach each other directly, each with its way to the same rows.
+/// Directly connected gateways, each with its own connection to the same rows.
 struct router_world
 {
     struct member
@@ -97,12 +97,12 @@
     row_table rows;
     std::map<std::string, std::unique_ptr<member>> members;
     std::vector<change_result> results;
-    /// These answer nothing.
+    /// Addresses of gateways that never reply.
     std::set<std::string> unresponsive;
     int messages = 0;
 };
 
-/// What gateways made of the same changes.
+/// Store load and messages caused by a fixed sequence of changes.
 struct load_figures
 {
     std::size_t transactions = 0;
@@ -118,8 +118,8 @@
     silent,
 };
 
-/// Every third of @a count gateways has @a fault; the others write steadily, in eight partitions, for five
-/// seconds.
+/// Every third of @a count gateways has @a fault; the others write at a constant rate to eight partitions for
+/// five seconds.
 load_figures write_steadily(int count, collector_fault fault)
 {
     router_world world{count};
@@ -193,8 +193,8 @@
     CHECK(shares.size() == 10);
 }
 
-// Load pattern: VMs of a tenth of a core among larger ones. One that collects the commits of an eighth of 34
-// gateways can't keep up, and answers neither commits nor reads in time.
+// Load pattern: VMs with a tenth of a core among larger ones. Such a VM cannot keep up as the collector of an
+// eighth of the commits of 34 gateways, and replies to neither commits nor reads in time.
 TEST_CASE("a VM with little processor time collects nothing while there are others")
 {
     std::vector<peer> peers = make_peers(10);
@@ -363,7 +363,7 @@
     two.list.leave();
     time.run(4s);
     CHECK(seen_by_one() == 1);
-    // The third falls silent for good.
+    // The third gateway stops responding permanently.
     three.store.mode = store_mode::unresponsive;
     time.run(10s);
     CHECK(seen_by_one() == 1);
@@ -371,9 +371,9 @@
     CHECK(seen_by_one() == 0);
 }
 
-// Load pattern: an outage of seconds under full load. If senders took their collectors for dead meanwhile,
-// all would write by themselves after it, the partitions would stay full, and collectors would go on to miss
-// their time.
+// Load pattern: a store outage of seconds under full load. If senders considered their collectors failed
+// meanwhile, they would all write directly after it, the partitions would stay overloaded, and collectors
+// would keep missing their reply time.
 TEST_CASE("after an outage the same collectors go on, and each change is written in few transactions")
 {
     for (const auto mode : {store_mode::unresponsive, store_mode::refusing})
@@ -431,9 +431,9 @@
     CHECK(world.done() == 4);
 }
 
-// Load pattern: an outage of seconds, in which each of forty gateways asks a few others, at random, for a way
-// to the store. Had they taken those that have none for dead, each would know other collectors after it, and
-// all would write by themselves, against each other.
+// Load pattern: a store outage of seconds, in which each of forty gateways asks a few random peers to relay
+// its calls. If gateways treated peers without a connection to the store as failed, they would select
+// different collectors after the outage, and their direct writes would conflict with each other.
 TEST_CASE("gateways that asked each other for a way in an outage agree on the collector soon after it")
 {
     router_world world{40};
@@ -458,9 +458,9 @@
     CHECK(world.rows.transactions() < 6);
 }
 
-// Load pattern: the store turns a third of the gateways away, or a third of them falls silent, among them
-// collectors. What each of the others does then falls on the same partitions: if each wrote by itself, their
-// load would grow with the number of gateways.
+// Load pattern: the store rejects a third of the gateways, or a third stops responding, including collectors.
+// The other gateways share the same partitions: if each wrote directly, the load on the partitions would grow
+// with the number of gateways.
 TEST_CASE("the load on partitions does not grow with the gateways that lost their collectors")
 {
     for (const int count : {10, 100, 400})
@@ -583,8 +583,9 @@
     CHECK(world.done() == 1);
 }
 
-// Load pattern: the store falls silent for all, and each gateway still believes that its peers reach it. If
-// each asked one collector after the other, their messages would grow with the square of their number.
+// Load pattern: the store stops responding to all gateways, and each still assumes that its peers can reach
+// it. If each gateway tried one collector after the other, the messages would grow quadratically with their
+// number.
 TEST_CASE(
     "in an outage that is not known as one for all yet, a gateway's messages do not grow with their number")
 {
@@ -610,8 +611,8 @@
             world.time.run(50ms);
         }
         CAPTURE(count);
-        // The changes of each of eight partitions ask three collectors a time, and wait 25 ms, doubled up to
-        // 200 ms, in between: eight times in the first second.
+        // The changes of each of the eight partitions try three collectors per round. The delay between
+        // rounds doubles from 25 ms to 200 ms, which allows eight rounds in the first second.
         constexpr int most_a_gateway = 8 * 3 * 8;
         CHECK(world.messages <= count * most_a_gateway);
         messages[count] = world.messages;
--- a/tests/unit/test_gateway_turns.cpp
+++ b/tests/unit/test_gateway_turns.cpp
@@ -1,4 +1,4 @@
-// Turns in the store: found by their id alone, put together in order, never confused with what is not there.
+// Stored turns: loading chains by id, their order, and the distinction between missing and unavailable turns.
 #include "masticcourse/gateway/turn_store.hpp"
 
 #include "support/memory_rows.hpp"
@@ -68,7 +68,7 @@
         CHECK(chain.prompt == expected);
         CHECK(chain.turns == std::vector<request_id>{{"a"}, {"b"}, {"c"}});
     }
-    // Three rows in two rounds; the second time none.
+    // The reader needs three queries in two rounds, and none when it loads the chain again.
     CHECK(world.store.queries == 3);
     std::ignore = world.load(world.reader, "c");
     CHECK(world.store.queries == 3);
@@ -78,7 +78,7 @@
 {
     turn_world world;
     REQUIRE(world.save("ab", {}, "in", "out\n"));
-    // A longer id, and a shorter one, are other turns.
+    // A prefix or an extension of an id denotes another turn.
     CHECK(world.load(world.reader, "a").outcome == chain_outcome::missing);
     CHECK(world.load(world.reader, "abc").outcome == chain_outcome::missing);
     world.store.mode = store_mode::refusing;
