--- a/src/codec/cbor.cpp
+++ b/src/codec/cbor.cpp
@@ -9,10 +9,10 @@
 {
 
 /// Deeper nesting than any message has; a bound keeps hostile bytes from exhausting the stack.
-constexpr std::size_t deepest_nesting = 16;
+constexpr std::size_t max_nesting_depth = 16;
 
 /// Checks a CBOR item without building it.
-class depth_guard : public nlohmann::json_sax<json>
+class cbor_validator : public nlohmann::json_sax<json>
 {
   public:
     bool null() override
@@ -70,7 +70,7 @@
     bool start_array(std::size_t /*elements*/) override
     {
         ++m_depth;
-        return m_depth <= deepest_nesting;
+        return m_depth <= max_nesting_depth;
     }
 
     bool end_array() override
@@ -91,19 +91,19 @@
 
 } // namespace
 
-std::string to_bytes(const json& value)
+std::string to_cbor(const json& value)
 {
     std::string result;
     json::to_cbor(value, result);
     return result;
 }
 
-std::optional<json> from_bytes(std::string_view bytes)
+std::optional<json> from_cbor(std::string_view bytes)
 {
     try
     {
-        depth_guard guard;
-        if (!json::sax_parse(bytes, &guard, json::input_format_t::cbor))
+        cbor_validator validator;
+        if (!json::sax_parse(bytes, &validator, json::input_format_t::cbor))
         {
             return std::nullopt;
         }
--- a/src/codec/cbor.hpp
+++ b/src/codec/cbor.hpp
@@ -32,24 +32,24 @@
 
 /// The type itself, const or not: lets one `members` serve writer and reader.
 template <typename T, typename U>
-concept like = std::same_as<std::remove_const_t<T>, U>;
+concept maybe_const = std::same_as<std::remove_const_t<T>, U>;
 
 template <typename T>
-concept with_members = requires(T& it) { members(it); };
+concept has_members = requires(T& it) { members(it); };
 
 /// The number of an enumeration's last value; specialised for each one on the wire.
 template <typename Enum>
-inline constexpr unsigned last_value = 0;
+inline constexpr unsigned max_enum_value = 0;
 
 /// The short names of a variant's alternatives, in their order; specialised for each variant on the wire.
 template <typename Variant>
 inline constexpr std::array<std::string_view, 0> alternative_names{};
 
 /// @return the value as CBOR
-[[nodiscard]] std::string to_bytes(const json& value);
+[[nodiscard]] std::string to_cbor(const json& value);
 
 /// @return the value, or nothing if @a bytes is not exactly one sane CBOR item. Never throws.
-[[nodiscard]] std::optional<json> from_bytes(std::string_view bytes);
+[[nodiscard]] std::optional<json> from_cbor(std::string_view bytes);
 
 /// Turns a value into JSON of the same shape.
 class writer
@@ -116,7 +116,7 @@
         return result;
     }
 
-    template <with_members T>
+    template <has_members T>
     json operator()(const T& it) const
     {
         json result = json::array();
@@ -124,7 +124,7 @@
         return result;
     }
 
-    template <with_members T>
+    template <has_members T>
     void append_members(json& array, const T& it) const
     {
         static_assert(boost::pfr::tuple_size_v<T> == std::tuple_size_v<decltype(members(it))>,
@@ -160,7 +160,7 @@
     template <std::signed_integral T>
     void operator()(const json& from, T& to)
     {
-        if (check(from.is_number_integer() && fits_signed(from)))
+        if (check(from.is_number_integer() && fits_int64(from)))
         {
             const auto value = from.get<std::int64_t>();
             check(std::in_range<T>(value)) && assign(to, static_cast<T>(value));
@@ -189,7 +189,7 @@
     {
         std::underlying_type_t<Enum> value = 0;
         (*this)(from, value);
-        check(value <= last_value<Enum>) && assign(to, static_cast<Enum>(value));
+        check(value <= max_enum_value<Enum>) && assign(to, static_cast<Enum>(value));
     }
 
     template <typename Rep, typename Period>
@@ -234,53 +234,53 @@
         }
         const auto& names = alternative_names<std::variant<Ts...>>;
         const auto it = std::ranges::find(names, std::string_view(from[0].get_ref<const std::string&>()));
-        const auto wanted = static_cast<std::size_t>(it - names.begin());
+        const auto alternative = static_cast<std::size_t>(it - names.begin());
         const auto read = [&]<std::size_t... I>(std::index_sequence<I...>)
-        { return (read_alternative<I>(from, wanted, to) || ...); };
+        { return (read_alternative<I>(from, alternative, to) || ...); };
         check(read(std::index_sequence_for<Ts...>{}));
     }
 
-    template <with_members T>
+    template <has_members T>
     void operator()(const json& from, T& to)
     {
         read_members(from, 0, to);
     }
 
     /// Fills a struct from the elements of an array from @a first on.
-    template <with_members T>
+    template <has_members T>
     void read_members(const json& array, std::size_t first, T& to)
     {
         if (!check(array.is_array()))
         {
             return;
         }
-        std::size_t at = first;
+        std::size_t index = first;
         const auto next = [&](auto& member)
         {
-            if (at < array.size())
+            if (index < array.size())
             {
-                (*this)(array[at], member);
+                (*this)(array[index], member);
             }
-            ++at;
+            ++index;
         };
         std::apply([&](auto&... member) { (next(member), ...); }, members(to));
     }
 
-    bool check(bool good)
+    bool check(bool condition)
     {
-        m_ok = m_ok && good;
+        m_ok = m_ok && condition;
         return m_ok;
     }
 
   private:
     template <std::size_t I, typename Variant>
-    bool read_alternative(const json& from, std::size_t wanted, Variant& to)
+    bool read_alternative(const json& from, std::size_t alternative, Variant& to)
     {
-        if (I == wanted)
+        if (I == alternative)
         {
             read_members(from, 1, to.template emplace<I>());
         }
-        return I == wanted;
+        return I == alternative;
     }
 
     template <typename T>
@@ -290,7 +290,7 @@
         return true;
     }
 
-    static bool fits_signed(const json& from)
+    static bool fits_int64(const json& from)
     {
         return !from.is_number_unsigned() || std::in_range<std::int64_t>(from.get<std::uint64_t>());
     }
--- a/src/codec/json_text.hpp
+++ b/src/codec/json_text.hpp
@@ -11,7 +11,7 @@
 {
 
 /// @return the object, or nothing if @a text is no JSON object
-[[nodiscard]] inline std::optional<json> object_from_text(const std::string& text)
+[[nodiscard]] inline std::optional<json> parse_json_object(const std::string& text)
 {
     json result = json::parse(text, nullptr, false);
     return result.is_object() ? std::optional(std::move(result)) : std::nullopt;
--- a/src/messages/peer_codec.cpp
+++ b/src/messages/peer_codec.cpp
@@ -6,12 +6,12 @@
 
 std::string encode(const peer_message& message)
 {
-    return codec::to_bytes(codec::writer{}(message));
+    return codec::to_cbor(codec::writer{}(message));
 }
 
 std::optional<peer_message> decode_message(const std::string& bytes)
 {
-    const auto value = codec::from_bytes(bytes);
+    const auto value = codec::from_cbor(bytes);
     if (!value)
     {
         return std::nullopt;
--- a/src/messages/store_members.hpp
+++ b/src/messages/store_members.hpp
@@ -8,55 +8,55 @@
 namespace masticcourse
 {
 
-template <codec::like<table_get> T>
+template <codec::maybe_const<table_get> T>
 auto members(T& it)
 {
     return std::tie(it.key);
 }
 
-template <codec::like<table_put> T>
+template <codec::maybe_const<table_put> T>
 auto members(T& it)
 {
     return std::tie(it.key, it.value, it.expected);
 }
 
-template <codec::like<table_list> T>
+template <codec::maybe_const<table_list> T>
 auto members(T& it)
 {
     return std::tie(it.prefix);
 }
 
-template <codec::like<object_create> T>
+template <codec::maybe_const<object_create> T>
 auto members(T& it)
 {
     return std::tie(it.key, it.bytes);
 }
 
-template <codec::like<object_get> T>
+template <codec::maybe_const<object_get> T>
 auto members(T& it)
 {
     return std::tie(it.key);
 }
 
-template <codec::like<object_delete> T>
+template <codec::maybe_const<object_delete> T>
 auto members(T& it)
 {
     return std::tie(it.key);
 }
 
-template <codec::like<object_list> T>
+template <codec::maybe_const<object_list> T>
 auto members(T& it)
 {
     return std::tie(it.prefix);
 }
 
-template <codec::like<table_row> T>
+template <codec::maybe_const<table_row> T>
 auto members(T& it)
 {
     return std::tie(it.key, it.value, it.version);
 }
 
-template <codec::like<store_reply> T>
+template <codec::maybe_const<store_reply> T>
 auto members(T& it)
 {
     return std::tie(it.status, it.version, it.value, it.rows);
@@ -70,7 +70,7 @@
     "get", "put", "list", "create", "read", "delete", "keys"};
 
 template <>
-inline constexpr unsigned last_value<store_status> = static_cast<unsigned>(store_status::lost);
+inline constexpr unsigned max_enum_value<store_status> = static_cast<unsigned>(store_status::lost);
 
 } // namespace codec
 
--- a/src/state/config_row.cpp
+++ b/src/state/config_row.cpp
@@ -5,7 +5,7 @@
 namespace masticcourse
 {
 
-template <codec::like<accepted_patch> T>
+template <codec::maybe_const<accepted_patch> T>
 auto members(T& it)
 {
     return std::tie(it.id, it.version);
@@ -20,7 +20,7 @@
 
 std::optional<config_row> decode_config_row(const std::string& text)
 {
-    const auto object = codec::object_from_text(text);
+    const auto object = codec::parse_json_object(text);
     if (!object)
     {
         return std::nullopt;
--- a/src/state/journal_codec.cpp
+++ b/src/state/journal_codec.cpp
@@ -85,7 +85,7 @@
 
 std::string encode(const journal_entry& entry)
 {
-    const std::string body = codec::to_bytes(codec::writer{}(entry));
+    const std::string body = codec::to_cbor(codec::writer{}(entry));
     std::string result(magic);
     put_number(result, format_version);
     put_number(result, static_cast<std::uint64_t>(body.size()));
@@ -100,7 +100,7 @@
     {
         return result;
     }
-    const auto body = codec::from_bytes(std::string_view(bytes).substr(body_at));
+    const auto body = codec::from_cbor(std::string_view(bytes).substr(body_at));
     codec::reader in;
     if (!body || !in.check(body->is_array() && body->size() == entry_members))
     {
--- a/src/state/journal_members.hpp
+++ b/src/state/journal_members.hpp
@@ -19,61 +19,61 @@
 
 } // namespace codec
 
-template <codec::like<program_created> T>
+template <codec::maybe_const<program_created> T>
 auto members(T& it)
 {
     return std::tie(it.program, it.spec);
 }
 
-template <codec::like<escrow_taken> T>
+template <codec::maybe_const<escrow_taken> T>
 auto members(T& it)
 {
     return std::tie(it.program, it.total);
 }
 
-template <codec::like<call_intended> T>
+template <codec::maybe_const<call_intended> T>
 auto members(T& it)
 {
     return std::tie(it.program, it.request, it.target, it.target_incarnation);
 }
 
-template <codec::like<turn_committed> T>
+template <codec::maybe_const<turn_committed> T>
 auto members(T& it)
 {
     return std::tie(it.program, it.finished, it.spent);
 }
 
-template <codec::like<intent_withdrawn> T>
+template <codec::maybe_const<intent_withdrawn> T>
 auto members(T& it)
 {
     return std::tie(it.program, it.key);
 }
 
-template <codec::like<program_ended> T>
+template <codec::maybe_const<program_ended> T>
 auto members(T& it)
 {
     return std::tie(it.program);
 }
 
-template <codec::like<program_snapshot> T>
+template <codec::maybe_const<program_snapshot> T>
 auto members(T& it)
 {
     return std::tie(it.program, it.spec, it.spent, it.escrow, it.ended, it.turns, it.intents);
 }
 
-template <codec::like<ownership_probe> T>
+template <codec::maybe_const<ownership_probe> T>
 auto members(T& /*it*/)
 {
     return std::tuple<>();
 }
 
-template <codec::like<journal_record> T>
+template <codec::maybe_const<journal_record> T>
 auto members(T& it)
 {
     return std::tie(it.shard, it.epoch, it.payload);
 }
 
-template <codec::like<journal_entry> T>
+template <codec::maybe_const<journal_entry> T>
 auto members(T& it)
 {
     return std::tie(it.journal, it.writer, it.index, it.seal, it.records);
--- a/src/state/shard_row.cpp
+++ b/src/state/shard_row.cpp
@@ -5,7 +5,7 @@
 namespace masticcourse
 {
 
-template <codec::like<journal_part> T>
+template <codec::maybe_const<journal_part> T>
 auto members(T& it)
 {
     return std::tie(it.journal, it.from_index, it.until);
@@ -30,7 +30,7 @@
 
 std::optional<shard_row> decode_shard_row(const std::string& text)
 {
-    const auto object = codec::object_from_text(text);
+    const auto object = codec::parse_json_object(text);
     if (!object)
     {
         return std::nullopt;
--- a/tests/support/any_value.hpp
+++ b/tests/support/any_value.hpp
@@ -62,7 +62,7 @@
         requires std::is_enum_v<Enum>
     void fill(Enum& to)
     {
-        to = static_cast<Enum>(m_random() % (codec::last_value<Enum> + 1));
+        to = static_cast<Enum>(m_random() % (codec::max_enum_value<Enum> + 1));
     }
 
     template <typename Rep, typename Period>
@@ -87,7 +87,7 @@
         std::ranges::for_each(to, [&](T& it) { fill(it); });
     }
 
-    template <codec::with_members T>
+    template <codec::has_members T>
     void fill(T& to)
     {
         std::apply([&](auto&... member) { (fill(member), ...); }, members(to));
--- a/tests/unit/test_platform_codec.cpp
+++ b/tests/unit/test_platform_codec.cpp
@@ -38,7 +38,7 @@
     return std::get<gateway::gateway_request>(std::move(decoded));
 }
 
-http_client_request forwarded(const std::vector<http_header>& headers)
+http_client_request encode_forwarded(const std::vector<http_header>& headers)
 {
     const gateway::target_record target{.id = {"i-1"}, .address = "10.0.0.1:80"};
     return platform_protocol{}.encode(decode(headers), "whole body", target, 1'250ms);
@@ -89,21 +89,21 @@
                              "Kv-Fetch", "Masticcourse-Expect-Instance"})
     {
         CAPTURE(name);
-        const auto sent = forwarded({{name, "forged"}});
+        const auto sent = encode_forwarded({{name, "forged"}});
         CHECK(std::ranges::none_of(sent.headers, [](const auto& it) { return it.value == "forged"; }));
     }
 }
 
 TEST_CASE("headers of one connection stay behind, the others go on as they came, twice if they came twice")
 {
-    const auto sent = forwarded({{"Connection", "keep-alive, X-Hop , masticcourse-request-id"},
-                                 {"X-Hop", "1"},
-                                 {"Keep-Alive", "timeout=5"},
-                                 {"Transfer-Encoding", "chunked"},
-                                 {"Content-Length", "4"},
-                                 {"X-Twice", "a"},
-                                 {"X-Twice", "b"},
-                                 {"Masticcourse-Session-Id", "s"}});
+    const auto sent = encode_forwarded({{"Connection", "keep-alive, X-Hop , masticcourse-request-id"},
+                                        {"X-Hop", "1"},
+                                        {"Keep-Alive", "timeout=5"},
+                                        {"Transfer-Encoding", "chunked"},
+                                        {"Content-Length", "4"},
+                                        {"X-Twice", "a"},
+                                        {"X-Twice", "b"},
+                                        {"Masticcourse-Session-Id", "s"}});
     for (const auto* name : {"Connection", "X-Hop", "Keep-Alive", "Transfer-Encoding", "Content-Length"})
     {
         CAPTURE(name);
@@ -117,7 +117,7 @@
 
 TEST_CASE("a target is told who is meant and how long it may take, once each")
 {
-    const auto sent = forwarded({{"Masticcourse-Deadline-Ms", "3000"}});
+    const auto sent = encode_forwarded({{"Masticcourse-Deadline-Ms", "3000"}});
     CHECK(find_header(sent.headers, "Masticcourse-Expect-Instance") == "i-1");
     CHECK(find_header(sent.headers, "Masticcourse-Deadline-Ms") == "1250");
     CHECK(std::ranges::count(sent.headers, std::string{"Masticcourse-Deadline-Ms"}, &http_header::name) == 1);
@@ -147,12 +147,14 @@
         request.workspace = {"hule"};
         const gateway::target_record target{.id = {"i-1"}, .address = "10.0.0.1:80"};
         const auto sent = platform_protocol{}.encode(request, "", target, 1s);
-        CHECK(std::ranges::none_of(sent.headers, [](const auto& one) { return one.value == "secret"; }));
+        CHECK(
+            std::ranges::none_of(sent.headers, [](const auto& header) { return header.value == "secret"; }));
         CHECK(find_header(sent.headers, "Masticcourse-Tenant") == "hule");
         CHECK(std::ranges::count(sent.headers, std::string{"Masticcourse-Tenant"}, &http_header::name) == 1);
-        const auto open = forwarded(headers);
-        CHECK_FALSE(find_header(open.headers, "Masticcourse-Tenant"));
-        CHECK(std::ranges::none_of(open.headers, [](const auto& one) { return one.value == "secret"; }));
+        const auto anonymous = encode_forwarded(headers);
+        CHECK_FALSE(find_header(anonymous.headers, "Masticcourse-Tenant"));
+        CHECK(std::ranges::none_of(anonymous.headers,
+                                   [](const auto& header) { return header.value == "secret"; }));
     }
 }
 
@@ -190,7 +192,7 @@
     {
         int status;
         std::vector<http_header> headers;
-        bool not_run;
+        bool not_executed;
         bool authentic;
     };
     const std::array table{
@@ -205,7 +207,7 @@
     {
         CAPTURE(it.status);
         const auto answer = platform_protocol{}.decode({.status = it.status, .headers = it.headers});
-        CHECK(answer.not_executed == it.not_run);
+        CHECK(answer.not_executed == it.not_executed);
         CHECK(answer.authentic == it.authentic);
     }
     const auto loaded =
@@ -246,10 +248,10 @@
         CHECK(response.status != 503);
         CHECK_FALSE(find_header(response.headers, "Retry-After"));
     }
-    const auto away = platform_protocol{}.encode(
+    const auto store_unavailable = platform_protocol{}.encode(
         gateway::refusal{.reason = refusal_reason::store_away, .retry_after = 1'050ms});
-    CHECK(away.status == 503);
-    CHECK(find_header(away.headers, "Retry-After") == "1.050");
+    CHECK(store_unavailable.status == 503);
+    CHECK(find_header(store_unavailable.headers, "Retry-After") == "1.050");
     CHECK(platform_protocol{}.encode(gateway::refusal{.reason = refusal_reason::over_budget}).status == 402);
     CHECK(platform_protocol{}.encode(gateway::refusal{.reason = refusal_reason::no_route}).status == 404);
 }
@@ -347,13 +349,13 @@
     {
         CAPTURE(it.workspaces);
         const auto bad = with(it.workspaces);
-        const auto* const fault = std::get_if<gateway::row_decode_error>(&bad);
-        REQUIRE(fault != nullptr);
-        CHECK(fault->message.starts_with(std::string{it.path} + " "));
-        CHECK(fault->message.find("secret") == std::string::npos);
+        const auto* const error = std::get_if<gateway::row_decode_error>(&bad);
+        REQUIRE(error != nullptr);
+        CHECK(error->message.starts_with(std::string{it.path} + " "));
+        CHECK(error->message.find("secret") == std::string::npos);
     }
-    const auto cut_short = *decode_config(make_row("config", R"({"tenants":[{"apiKeys":["secret)"));
-    CHECK(std::get<gateway::row_decode_error>(cut_short).message.find("secret") == std::string::npos);
+    const auto truncated = *decode_config(make_row("config", R"({"tenants":[{"apiKeys":["secret)"));
+    CHECK(std::get<gateway::row_decode_error>(truncated).message.find("secret") == std::string::npos);
 }
 
 TEST_CASE("an entry of a target is read whole or not at all")
@@ -371,9 +373,9 @@
     CHECK(target->draining);
     CHECK(target->slots == 8);
     CHECK(target->warmup_remaining == 250ms);
-    auto ageless = good;
-    ageless.erase("born");
-    CHECK(std::holds_alternative<gateway::target_record>(decode(ageless)));
+    auto without_start_time = good;
+    without_start_time.erase("born");
+    CHECK(std::holds_alternative<gateway::target_record>(decode(without_start_time)));
 
     struct row
     {
@@ -423,28 +425,28 @@
 
 TEST_CASE("rows with any bytes changed crash nothing and invent no target")
 {
-    const auto holds = [](const std::vector<std::pair<std::uint8_t, std::uint8_t>>& changes)
+    const auto decodes_safely = [](const std::vector<std::pair<std::uint8_t, std::uint8_t>>& changes)
     {
         std::string text = good_entry;
         std::ranges::for_each(changes, [&text](const auto& it)
                               { text[it.first % text.size()] = static_cast<char>(it.second); });
         const auto decoded = decode_target(make_row("i-1", text));
         const auto* const target = std::get_if<gateway::target_record>(&decoded);
-        const bool usable = target == nullptr || (target->id.value == "i-1" && target->slots > 0 &&
-                                                  is_client_address(target->address));
+        const bool is_target_valid = target == nullptr || (target->id.value == "i-1" && target->slots > 0 &&
+                                                           is_client_address(target->address));
         std::string config = good_config;
         std::ranges::for_each(changes, [&config](const auto& it)
                               { config[it.first * 3U % config.size()] = static_cast<char>(it.second); });
-        return usable && decode_config(make_row("config", config)).has_value();
+        return is_target_valid && decode_config(make_row("config", config)).has_value();
     };
     CHECK(rc::check([&](const std::vector<std::pair<std::uint8_t, std::uint8_t>>& changes)
-                    { return holds(changes); }));
+                    { return decodes_safely(changes); }));
     // Small changes are the likeliest to be believed.
     for (unsigned at = 0; at < good_entry.size(); ++at)
     {
         for (unsigned byte = 0; byte < 256; byte += 5)
         {
-            CHECK(holds({{static_cast<std::uint8_t>(at), static_cast<std::uint8_t>(byte)}}));
+            CHECK(decodes_safely({{static_cast<std::uint8_t>(at), static_cast<std::uint8_t>(byte)}}));
         }
     }
 }
@@ -469,7 +471,7 @@
     const auto sent = platform_protocol{}.encode(request, "", target, 1s);
     CHECK(find_header(sent.headers, "Last-Event-Id") == "6");
     CHECK(std::ranges::count(sent.headers, std::string{"Last-Event-Id"}, &http_header::name) == 1);
-    CHECK_FALSE(find_header(forwarded({}).headers, "Last-Event-Id"));
+    CHECK_FALSE(find_header(encode_forwarded({}).headers, "Last-Event-Id"));
 }
 
 TEST_CASE("base64 there and back, and nothing that is none")
@@ -501,7 +503,7 @@
         R"("hasMore":true,"ver":530,"nowMs":1})");
     REQUIRE(page);
     CHECK(page->version == 530);
-    CHECK(page->more);
+    CHECK(page->has_more);
     CHECK(page->rows[0].value == "node-1");
     CHECK(page->rows[1].removed);
     for (const auto* text : {"", "{}", R"({"ver":1})", R"({"ver":1,"rows":[{"ver":2}]})"})
@@ -556,7 +558,7 @@
         const auto bad = parse_gateway_settings(text);
         REQUIRE(std::holds_alternative<settings_error>(bad));
         CHECK(std::get<settings_error>(bad).key == it.key);
-        CHECK_FALSE(std::get<settings_error>(bad).why.empty());
+        CHECK_FALSE(std::get<settings_error>(bad).message.empty());
     }
     CHECK(std::holds_alternative<settings_error>(read_gateway_settings("/nowhere/settings.toml")));
 }
--- a/tests/unit/test_platform_store.cpp
+++ b/tests/unit/test_platform_store.cpp
@@ -17,27 +17,27 @@
 constexpr core_time start{};
 
 /// Keeps the answer.
-class answer_keeper final : public http_exchange
+class response_recorder final : public http_exchange
 {
   public:
-    void respond(http_response response) override
+    void respond(http_response sent) override
     {
-        answer = std::move(response);
+        response = std::move(sent);
     }
     void begin_stream(int /*status*/, std::vector<http_header> /*headers*/) override {}
     void write(std::string /*chunk*/) override {}
     void end_stream() override {}
     void on_closed(std::function<void()> /*callback*/) override {}
 
-    http_response answer;
+    http_response response;
 };
 
 /// @return what the list answers
-http_response ask(vm_list& list, const http_request& request)
+http_response send(vm_list& list, const http_request& request)
 {
-    const auto exchange = std::make_shared<answer_keeper>();
+    const auto exchange = std::make_shared<response_recorder>();
     list.handle(request, exchange);
-    return exchange->answer;
+    return exchange->response;
 }
 
 } // namespace
@@ -132,12 +132,12 @@
     for (const auto& it : table)
     {
         vm_list list(it.lag);
-        CHECK(ask(list, get).body == "[]");
-        CHECK(ask(list, {.method = "PUT", .target = "/vms", .body = "first"}).status == 200);
-        CHECK(ask(list, get).body == "first");
-        CHECK(ask(list, {.method = "PUT", .target = "/vms", .body = "second"}).status == 200);
-        CHECK(ask(list, get).body == it.shown);
-        CHECK(ask(list, {.method = "POST", .target = "/vms"}).status == 405);
-        CHECK(ask(list, {.method = "GET", .target = "/"}).status == 404);
+        CHECK(send(list, get).body == "[]");
+        CHECK(send(list, {.method = "PUT", .target = "/vms", .body = "first"}).status == 200);
+        CHECK(send(list, get).body == "first");
+        CHECK(send(list, {.method = "PUT", .target = "/vms", .body = "second"}).status == 200);
+        CHECK(send(list, get).body == it.shown);
+        CHECK(send(list, {.method = "POST", .target = "/vms"}).status == 405);
+        CHECK(send(list, {.method = "GET", .target = "/"}).status == 404);
     }
 }
--- a/tests/unit/test_row_store_client.cpp
+++ b/tests/unit/test_row_store_client.cpp
@@ -25,18 +25,18 @@
 namespace
 {
 
-struct client_world
+struct client_fixture
 {
-    client_world()
+    client_fixture()
         : peers({"127.0.0.1:1", 1}), client(threads.context(), {loopback(store.port()), "127.0.0.1:0"}, peers,
                                             gateway::make_io_delay(threads.context()), metrics)
     {
     }
-    client_world(const client_world&) = delete;
-    client_world(client_world&&) = delete;
-    client_world& operator=(const client_world&) = delete;
-    client_world& operator=(client_world&&) = delete;
-    ~client_world()
+    client_fixture(const client_fixture&) = delete;
+    client_fixture(client_fixture&&) = delete;
+    client_fixture& operator=(const client_fixture&) = delete;
+    client_fixture& operator=(client_fixture&&) = delete;
+    ~client_fixture()
     {
         threads.stop();
         store_threads.stop();
@@ -73,12 +73,12 @@
                 m_threads.context(), "127.0.0.1:0", http_limits{},
                 [this, n](const http_request&, const auto& exchange)
                 {
-                    ++asked;
-                    const bool passes_on = n == with_store;
+                    ++request_count;
+                    const bool relays = n == relaying_peer;
                     exchange->respond(
-                        passes_on ? http_response{.body = R"({"rows":[],"ver":1,"nowMs":1,"hasMore":false})",
-                                                  .headers = {{"Call-Status", "200"}}}
-                                  : http_response{.status = 503, .body = "{}"});
+                        relays ? http_response{.body = R"({"rows":[],"ver":1,"nowMs":1,"hasMore":false})",
+                                               .headers = {{"Call-Status", "200"}}}
+                               : http_response{.status = 503, .body = "{}"});
                 }));
         }
     }
@@ -101,9 +101,9 @@
         return peers;
     }
 
-    std::atomic<int> asked = 0;
+    std::atomic<int> request_count = 0;
     /// The one that passes calls on; none if there is no such.
-    std::atomic<int> with_store = -1;
+    std::atomic<int> relaying_peer = -1;
 
   private:
     io_threads m_threads{1};
@@ -117,67 +117,67 @@
 TEST_CASE("a call finds the one peer of six that has the store; without any, a call asks one peer")
 {
     peer_group group{6};
-    group.with_store = 4;
-    client_world world;
-    world.client.set_address("127.0.0.1:1");
-    world.peers.set(group.list());
-    const auto ask = [&]
+    group.relaying_peer = 4;
+    client_fixture fixture;
+    fixture.client.set_address("127.0.0.1:1");
+    fixture.peers.set(group.list());
+    const auto query_succeeds = [&]
     {
-        return world
-            .wait_for<gateway::query_reply>([&](auto done) { world.client.query({.table = "t"}, done); })
+        return fixture
+            .wait_for<gateway::query_reply>([&](auto done) { fixture.client.query({.table = "t"}, done); })
             .answered;
     };
-    CHECK(ask());
-    CHECK(world.client.direct_path_down_for());
-    CHECK(world.client.reachable());
-    group.asked = 0;
+    CHECK(query_succeeds());
+    CHECK(fixture.client.direct_path_down_for());
+    CHECK(fixture.client.reachable());
+    group.request_count = 0;
     // The one that has the store is asked first from then on.
-    CHECK(ask());
-    CHECK(group.asked == 1);
-    group.with_store = -1;
-    CHECK_FALSE(ask());
-    CHECK_FALSE(world.client.reachable());
-    group.asked = 0;
-    CHECK_FALSE(ask());
-    CHECK(group.asked <= 1);
+    CHECK(query_succeeds());
+    CHECK(group.request_count == 1);
+    group.relaying_peer = -1;
+    CHECK_FALSE(query_succeeds());
+    CHECK_FALSE(fixture.client.reachable());
+    group.request_count = 0;
+    CHECK_FALSE(query_succeeds());
+    CHECK(group.request_count <= 1);
 }
 
 // A feed that hung for as long as a slow call may take let a request reach a target two seconds after its
 // leave.
 TEST_CASE("a feed that hangs ends soon after its wait, however long calls may take at present")
 {
-    client_world world;
-    world.store.set_fault(standins::table_fault::silent);
+    client_fixture fixture;
+    fixture.store.set_fault(standins::table_fault::silent);
     for (int n = 0; n < 4; ++n)
     {
         // Each silence lets the next call take longer.
-        std::ignore = world.wait_for<gateway::query_reply>([&](auto done)
-                                                           { world.client.query({.table = "t"}, done); });
+        std::ignore = fixture.wait_for<gateway::query_reply>([&](auto done)
+                                                             { fixture.client.query({.table = "t"}, done); });
     }
-    const auto began = std::chrono::steady_clock::now();
+    const auto start_time = std::chrono::steady_clock::now();
     const auto reply =
-        world.wait_for<gateway::feed_reply>([&](auto done) { world.client.follow("t", 0, 1s, done); });
+        fixture.wait_for<gateway::feed_reply>([&](auto done) { fixture.client.follow("t", 0, 1s, done); });
     CHECK(reply.outcome == gateway::feed_outcome::failed);
     // 1.5 s, against 3.5 s; the rest is for busy machines.
-    CHECK(std::chrono::steady_clock::now() - began < 3s);
+    CHECK(std::chrono::steady_clock::now() - start_time < 3s);
 }
 
 TEST_CASE("what the store says of a version that it has forgotten, and of rows that are there")
 {
-    client_world world;
-    world.store.put("t", "a", "value");
-    const auto rows =
-        world.wait_for<gateway::query_reply>([&](auto done) { world.client.query({.table = "t"}, done); });
+    client_fixture fixture;
+    fixture.store.put("t", "a", "value");
+    const auto rows = fixture.wait_for<gateway::query_reply>([&](auto done)
+                                                             { fixture.client.query({.table = "t"}, done); });
     REQUIRE(rows.answered);
     REQUIRE(rows.rows.size() == 1);
     CHECK(rows.rows[0].value == "value");
-    world.store.remove("t", "a");
-    const auto feed = world.wait_for<gateway::feed_reply>(
-        [&](auto done) { world.client.follow("t", rows.version, 1s, done); });
+    fixture.store.remove("t", "a");
+    const auto feed = fixture.wait_for<gateway::feed_reply>(
+        [&](auto done) { fixture.client.follow("t", rows.version, 1s, done); });
     REQUIRE(feed.rows.size() == 1);
     CHECK(feed.rows[0].removed);
-    world.store.forget_history();
-    const auto gone = world.wait_for<gateway::feed_reply>(
-        [&](auto done) { world.client.follow("t", rows.version, 1s, done); });
+    fixture.store.forget_history();
+    const auto gone = fixture.wait_for<gateway::feed_reply>(
+        [&](auto done) { fixture.client.follow("t", rows.version, 1s, done); });
     CHECK(gone.outcome == gateway::feed_outcome::history_truncated);
 }
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -34,7 +34,8 @@
     "domain of the last turn": [(f"{FORWARD}_attempts.cpp", "m_chain.domain.value.empty()", "true")],
     "reads from collectors": [("src/gateway/collected_rows.cpp", "if (!query.allow_cached)", "if (true)")],
     "relay through peers": [("platform/store_relay.cpp",
-                             "it->peers = m_peers.choose(most, monotonic_now(), m_relay);", "it->peers.clear();")],
+                             "pending->peers = m_peers.choose(max_peers, monotonic_now(), m_last_relay);",
+                             "pending->peers.clear();")],
     "waiting through outages": [(f"{FORWARD}.cpp", "m_await_reservation && is_retained() &&", "is_retained() &&")],
     "avoidance after failures": [("src/gateway/target_choice.cpp",
                                   "return it->backoff_until > now;", "return it->backoff_until > now + seconds{60};")],
@@ -44,7 +45,7 @@
     "sending before the reservation": [("src/gateway/program_spending.cpp", "headroom_turns = 3;", "headroom_turns = 1'000;")],
     "resuming of streams": [("include/masticcourse/gateway/route_table.hpp",
                              "(kind == request_kind::stream && resumable)", "(false && resumable)")],
-    "repeated store calls": [("platform/row_store_client.cpp", "most_repetitions = 3;", "most_repetitions = 0;")],
+    "repeated store calls": [("platform/row_store_client.cpp", "max_hedged_attempts = 3;", "max_hedged_attempts = 0;")],
 }
 
 
