--- a/src/codec/cbor.cpp
+++ b/src/codec/cbor.cpp
@@ -8,10 +8,10 @@
 namespace
 {
 
-/// Deeper nesting than any message has; a bound keeps hostile bytes from exhausting the stack.
+/// Exceeds the nesting depth of every message. The limit keeps malicious input from exhausting the stack.
 constexpr std::size_t max_nesting_depth = 16;
 
-/// Checks a CBOR item without building it.
+/// Validates a CBOR item without building a DOM.
 class cbor_validator : public nlohmann::json_sax<json>
 {
   public:
@@ -45,13 +45,13 @@
         return true;
     }
 
-    /// No type of ours is binary.
+    /// No message type contains binary values.
     bool binary(binary_t& /*value*/) override
     {
         return false;
     }
 
-    /// No type of ours is a map.
+    /// No message type contains maps.
     bool start_object(std::size_t /*elements*/) override
     {
         return false;
--- a/src/codec/cbor.hpp
+++ b/src/codec/cbor.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// Structs as CBOR arrays of their members, in one description for both directions.
+/// Serializes structs as CBOR arrays of their members; one description serves encoding and decoding.
 ///
-/// A struct takes part by a function `members(T&)` next to its type (found by argument-dependent lookup) that
-/// ties its members in the order of the wire. New members go to the end: a reader takes those missing as
-/// defaulted.
+/// A struct is made serializable by a function `members(T&)` in its namespace (found by argument-dependent
+/// lookup) that ties its members in wire order. New members are appended: a reader leaves members that are
+/// missing from the input at their defaults.
 #pragma once
 
 #include "masticcourse/core/ids.hpp"
@@ -30,28 +30,28 @@
 
 using json = nlohmann::json;
 
-/// The type itself, const or not: lets one `members` serve writer and reader.
+/// Satisfied by `U` and `const U`, so that one `members` function serves both writer and reader.
 template <typename T, typename U>
 concept maybe_const = std::same_as<std::remove_const_t<T>, U>;
 
 template <typename T>
 concept has_members = requires(T& it) { members(it); };
 
-/// The number of an enumeration's last value; specialised for each one on the wire.
+/// The largest valid value of an enumeration; specialized for each serialized enumeration.
 template <typename Enum>
 inline constexpr unsigned max_enum_value = 0;
 
-/// The short names of a variant's alternatives, in their order; specialised for each variant on the wire.
+/// The wire names of a variant's alternatives, by index; specialized for each serialized variant.
 template <typename Variant>
 inline constexpr std::array<std::string_view, 0> alternative_names{};
 
-/// @return the value as CBOR
+/// @return @a value encoded as CBOR
 [[nodiscard]] std::string to_cbor(const json& value);
 
-/// @return the value, or nothing if @a bytes is not exactly one sane CBOR item. Never throws.
+/// @return the decoded value, or nothing if @a bytes is not exactly one valid CBOR item. Never throws.
 [[nodiscard]] std::optional<json> from_cbor(std::string_view bytes);
 
-/// Turns a value into JSON of the same shape.
+/// Converts a value to JSON: structs, vectors and variants become arrays.
 class writer
 {
   public:
@@ -107,7 +107,7 @@
         return result;
     }
 
-    /// A variant is an array: the name of its alternative, then the members.
+    /// A variant is written as an array: the name of its alternative, followed by the members.
     template <typename... Ts>
     json operator()(const std::variant<Ts...>& value) const
     {
@@ -128,12 +128,12 @@
     void append_members(json& array, const T& it) const
     {
         static_assert(boost::pfr::tuple_size_v<T> == std::tuple_size_v<decltype(members(it))>,
-                      "a member is missing on the wire");
+                      "members() must list every member of the struct");
         std::apply([&](const auto&... member) { (array.push_back((*this)(member)), ...); }, members(it));
     }
 };
 
-/// Fills values from JSON; the first misfit makes it fail for good.
+/// Reads values from JSON. After the first type or range mismatch, ok() stays false.
 class reader
 {
   public:
@@ -246,7 +246,7 @@
         read_members(from, 0, to);
     }
 
-    /// Fills a struct from the elements of an array from @a first on.
+    /// Reads the members of a struct from the elements of an array, starting at index @a first.
     template <has_members T>
     void read_members(const json& array, std::size_t first, T& to)
     {
--- a/src/codec/json_text.hpp
+++ b/src/codec/json_text.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Reading of JSON text from the table, where a misfit is a value and not an exception.
+/// Parses JSON text from the table service; errors are reported as return values, not exceptions.
 #pragma once
 
 #include "cbor.hpp"
@@ -10,14 +10,14 @@
 namespace masticcourse::codec
 {
 
-/// @return the object, or nothing if @a text is no JSON object
+/// @return the object, or nothing if @a text is not a JSON object
 [[nodiscard]] inline std::optional<json> parse_json_object(const std::string& text)
 {
     json result = json::parse(text, nullptr, false);
     return result.is_object() ? std::optional(std::move(result)) : std::nullopt;
 }
 
-/// Reads a member of an object; a missing one is a misfit.
+/// Reads a required member of an object; if it is missing, the reader fails.
 template <typename T>
 void read_member(reader& in, const json& object, const char* name, T& to)
 {
--- a/src/codec/model_members.hpp
+++ b/src/codec/model_members.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The wire form of the model's types, shared by messages and journal.
+/// Serialization of the model types, shared by peer messages and the journal.
 #pragma once
 
 #include "cbor.hpp"
@@ -21,7 +21,7 @@
 inline constexpr unsigned max_enum_value<service_class> = static_cast<unsigned>(service_class::background);
 template <>
 inline constexpr unsigned max_enum_value<ran_state> = static_cast<unsigned>(ran_state::unknown);
-/// Ids that a newer process knows pass through older ones.
+/// Not limited to the known ids, so that older processes forward ids defined by newer ones.
 template <>
 inline constexpr unsigned max_enum_value<problem_id> =
     std::numeric_limits<std::underlying_type_t<problem_id>>::max();
--- a/tests/unit/test_platform_codec.cpp
+++ b/tests/unit/test_platform_codec.cpp
@@ -1,4 +1,4 @@
-// What the adapter makes of the platform's requests, answers, rows and settings.
+// The platform adapter: codecs for requests, responses, rows and store calls, and the settings.
 #include "base64.hpp"
 #include "gateway_settings.hpp"
 #include "request_codec.hpp"
@@ -83,7 +83,7 @@
 
 } // namespace
 
-TEST_CASE("what only the system may set is not taken from callers, however it is spelled")
+TEST_CASE("headers reserved for the system are removed from callers' requests, regardless of case")
 {
     for (const auto* name : {"Masticcourse-Hold", "masticcourse-pin-ms", "Masticcourse-Kv-Backup", "KV-FROM",
                              "Kv-Fetch", "Masticcourse-Expect-Instance"})
@@ -94,7 +94,7 @@
     }
 }
 
-TEST_CASE("headers of one connection stay behind, the others go on as they came, twice if they came twice")
+TEST_CASE("hop-by-hop headers are removed, and all others are forwarded unchanged, including repeated ones")
 {
     const auto sent = encode_forwarded({{"Connection", "keep-alive, X-Hop , masticcourse-request-id"},
                                         {"X-Hop", "1"},
@@ -115,7 +115,7 @@
     CHECK(find_header(sent.headers, "Host") == "a.example");
 }
 
-TEST_CASE("a target is told who is meant and how long it may take, once each")
+TEST_CASE("a forwarded request carries the expected instance and the remaining time, once each")
 {
     const auto sent = encode_forwarded({{"Masticcourse-Deadline-Ms", "3000"}});
     CHECK(find_header(sent.headers, "Masticcourse-Expect-Instance") == "i-1");
@@ -124,8 +124,7 @@
     CHECK(sent.body == "whole body");
 }
 
-TEST_CASE(
-    "a key stays here, and a target is told the workspace that the system knows, whatever the caller says")
+TEST_CASE("an API key is not forwarded, and the workspace header is set by the system, not by the caller")
 {
     struct row
     {
@@ -158,7 +157,7 @@
     }
 }
 
-TEST_CASE("what a request says of its program is read, and bad ids are refused")
+TEST_CASE("program headers are decoded, and invalid ids are refused")
 {
     const auto turn = decode({{"Masticcourse-Program-Id", "3fa81c"},
                               {"Masticcourse-Token-Budget", "2240"},
@@ -186,7 +185,7 @@
     }
 }
 
-TEST_CASE("what a target's answer says")
+TEST_CASE("the response headers of a target are decoded")
 {
     struct row
     {
@@ -221,7 +220,7 @@
                     .load);
 }
 
-TEST_CASE("an answer belongs to the request whose id it bears")
+TEST_CASE("a response is matched to its request by the request id")
 {
     const platform_protocol protocol;
     const auto with_id = [](const std::string& id) {
@@ -233,7 +232,7 @@
     CHECK(protocol.is_response_to({.status = 503, .headers = {{"Masticcourse-Not-Executed", "1"}}}, {"a"}));
 }
 
-TEST_CASE("a status that promises \"not run\" is given only where that is true")
+TEST_CASE("a status that guarantees \"not executed\" is used only if the request was not executed")
 {
     using gateway::refusal_reason;
     constexpr std::array reasons{refusal_reason::no_configuration, refusal_reason::store_away,
@@ -256,7 +255,7 @@
     CHECK(platform_protocol{}.encode(gateway::refusal{.reason = refusal_reason::no_route}).status == 404);
 }
 
-TEST_CASE("the operator's configuration is read into routes and services; unknown fields don't matter")
+TEST_CASE("the operator's configuration is decoded into routes and services, ignoring unknown fields")
 {
     const auto decoded = decode_config(make_row("config", good_config));
     REQUIRE(decoded);
@@ -284,7 +283,7 @@
     CHECK(config->limits.idle_timeout == 400ms);
 }
 
-TEST_CASE("a configuration or an entry that can't be read is refused")
+TEST_CASE("an invalid configuration is refused")
 {
     CHECK_FALSE(decode_config(make_row("other", good_config)));
     for (const auto* text :
@@ -299,7 +298,7 @@
     }
 }
 
-TEST_CASE("workspaces are read; what is wrong with one is named without its keys")
+TEST_CASE("workspaces are decoded, and error messages do not contain API keys")
 {
     const auto with = [](const std::string& workspaces)
     {
@@ -358,7 +357,7 @@
     CHECK(std::get<gateway::row_decode_error>(truncated).message.find("secret") == std::string::npos);
 }
 
-TEST_CASE("an entry of a target is read whole or not at all")
+TEST_CASE("a registry entry with any invalid field is refused")
 {
     const auto good = nlohmann::json::parse(good_entry);
     const auto decode = [](const nlohmann::json& entry)
@@ -423,7 +422,7 @@
     }
 }
 
-TEST_CASE("rows with any bytes changed crash nothing and invent no target")
+TEST_CASE("rows with corrupted bytes cause no crash and yield no invalid target")
 {
     const auto decodes_safely = [](const std::vector<std::pair<std::uint8_t, std::uint8_t>>& changes)
     {
@@ -441,7 +440,7 @@
     };
     CHECK(rc::check([&](const std::vector<std::pair<std::uint8_t, std::uint8_t>>& changes)
                     { return decodes_safely(changes); }));
-    // Small changes are the likeliest to be believed.
+    // Single-byte changes are the most likely to pass validation.
     for (unsigned at = 0; at < good_entry.size(); ++at)
     {
         for (unsigned byte = 0; byte < 256; byte += 5)
@@ -451,7 +450,7 @@
     }
 }
 
-TEST_CASE("a row whose value is no base64 leaves the other rows of its page")
+TEST_CASE("a row with invalid base64 does not affect the other rows of its page")
 {
     const auto page = decode_page(R"({"ver":9,"nowMs":1,"rows":[
         {"table":"t","part":"","key":"a","value":"!!","ver":3},
@@ -462,7 +461,7 @@
     CHECK(page->rows[1].value == "node-1");
 }
 
-TEST_CASE("the last event that a caller has goes on to the target, once, as the gateway knows it")
+TEST_CASE("the last event id is forwarded once, with the gateway's value")
 {
     auto request = decode({{"Last-Event-Id", "4"}});
     CHECK(request.last_event_id == "4");
@@ -474,7 +473,7 @@
     CHECK_FALSE(find_header(encode_forwarded({}).headers, "Last-Event-Id"));
 }
 
-TEST_CASE("base64 there and back, and nothing that is none")
+TEST_CASE("base64 round trips, and invalid input is refused")
 {
     CHECK(to_base64("node-1") == "bm9kZS0x");
     CHECK(rc::check([](const std::string& bytes) { return from_base64(to_base64(bytes)) == bytes; }));
@@ -486,7 +485,7 @@
     CHECK(from_base64("") == "");
 }
 
-TEST_CASE("calls of the store are spelled as it wants them, and its answers are understood")
+TEST_CASE("store calls are encoded, and the responses of the store are decoded")
 {
     const auto call = encode(gateway::row_transaction{
         .partition = "p7", .conditions = {{{"my", "owner"}, 0}}, .puts = {{{"my", "owner"}, "node-1"}}});
@@ -521,7 +520,7 @@
     CHECK(decode_transaction({403, "{}"}).outcome == store_outcome::refused);
 }
 
-TEST_CASE("settings are read, and what is wrong with them is named")
+TEST_CASE("settings are parsed, and errors name the key")
 {
     const auto good = parse_gateway_settings(good_settings);
     REQUIRE(std::holds_alternative<gateway_settings>(good));
@@ -529,7 +528,7 @@
     CHECK(std::get<gateway_settings>(good).store == "127.0.0.1:5");
     const gateway::quota_rule rule{.window = 5s, .overage = 0.1, .slack = 20};
     CHECK(std::get<gateway_settings>(good).quota == rule);
-    // A platform without quotas does not state their rule.
+    // Platforms without quotas omit the section.
     const auto without = parse_gateway_settings(good_settings.substr(0, good_settings.find("[quota]")));
     CHECK(std::get<gateway_settings>(without).quota == gateway::quota_rule{});
 
--- a/tests/unit/test_platform_store.cpp
+++ b/tests/unit/test_platform_store.cpp
@@ -1,4 +1,4 @@
-// The store stand-in: its semantics and each of its faults, in virtual time; and the VM list's lag.
+// The store stand-in: its semantics and each injected fault, in virtual time; and the lag of the VM list.
 #include "platform_store.hpp"
 #include "vm_list.hpp"
 
@@ -16,7 +16,7 @@
 
 constexpr core_time start{};
 
-/// Keeps the answer.
+/// Records the response.
 class response_recorder final : public http_exchange
 {
   public:
@@ -32,7 +32,7 @@
     http_response response;
 };
 
-/// @return what the list answers
+/// Sends a request to the VM list.
 http_response send(vm_list& list, const http_request& request)
 {
     const auto exchange = std::make_shared<response_recorder>();
@@ -42,7 +42,7 @@
 
 } // namespace
 
-TEST_CASE("platform_store: a table is written under conditions")
+TEST_CASE("platform_store: table writes are conditional on the row version")
 {
     struct row
     {
@@ -72,7 +72,7 @@
     CHECK(store.stats().conflicts == 3);
 }
 
-TEST_CASE("platform_store: objects are created once, listed and deleted")
+TEST_CASE("platform_store: objects can be created once, listed and deleted")
 {
     platform_store store;
     CHECK(store.apply(object_create{"a/1", "x"}, start).status == store_status::ok);
@@ -88,7 +88,7 @@
     CHECK(store.apply(object_get{"a/1"}, start).status == store_status::not_found);
 }
 
-TEST_CASE("platform_store: an outage refuses all and writes nothing")
+TEST_CASE("platform_store: during an outage all operations are refused and nothing is written")
 {
     platform_store store;
     store.set_faults({.outage = true});
@@ -98,7 +98,7 @@
     CHECK(store.stats().refused == 1);
 }
 
-TEST_CASE("platform_store: a lost answer has taken effect")
+TEST_CASE("platform_store: an operation whose answer is lost has taken effect")
 {
     platform_store store;
     store.set_faults({.lose_answers = 1});
@@ -106,7 +106,7 @@
     CHECK(store.apply(object_get{"k"}, start).value == "a");
 }
 
-TEST_CASE("platform_store: rates bound writes and reads apart")
+TEST_CASE("platform_store: writes and reads have separate rate limits")
 {
     platform_store store;
     store.set_faults({.writes_per_second = 2, .reads_per_second = 1});
@@ -120,7 +120,7 @@
     CHECK(put(start + std::chrono::milliseconds{600}) == store_status::conflict);
 }
 
-TEST_CASE("vm_list: the first list shows at once, later ones after the lag")
+TEST_CASE("vm_list: the first list is visible immediately, later ones after the lag")
 {
     struct row
     {
--- a/tests/unit/test_row_store_client.cpp
+++ b/tests/unit/test_row_store_client.cpp
@@ -1,4 +1,4 @@
-// The client for the users' platform's store against its stand-in, where the store falls silent.
+// The client for the platform's store, tested against the stand-in with an unresponsive or unreachable store.
 #include "row_store_client.hpp"
 
 #include "masticcourse/gateway/io_delay.hpp"
@@ -42,7 +42,8 @@
         store_threads.stop();
     }
 
-    /// @return what a call that takes a callback called back with
+    /// Makes an asynchronous call and waits for its callback.
+    /// @return the reply passed to the callback
     template <typename Reply, typename Call>
     Reply wait_for(Call call)
     {
@@ -61,7 +62,7 @@
     platform::row_store_client client;
 };
 
-/// Gateways that pass calls on, or say that they lack the store too.
+/// Peer gateways that relay calls, or report that they can't reach the store either.
 class peer_group
 {
   public:
@@ -102,7 +103,7 @@
     }
 
     std::atomic<int> request_count = 0;
-    /// The one that passes calls on; none if there is no such.
+    /// The index of the peer that relays calls; -1 if there is none.
     std::atomic<int> relaying_peer = -1;
 
   private:
@@ -112,9 +113,11 @@
 
 } // namespace
 
-// Load pattern: the store turns half of all gateways away, and later is away for all. Each call of a gateway
-// that lacks it asks others: enough of them to find a way while there is one, few while there is none.
-TEST_CASE("a call finds the one peer of six that has the store; without any, a call asks one peer")
+// Load pattern: the store rejects half of all gateways, and later all of them. Each call of a gateway that
+// can't reach the store is relayed: it must try enough peers to find a working one while there is one, and
+// few during a full outage.
+TEST_CASE(
+    "a call finds the only one of six peers that can reach the store; in a full outage it tries one peer")
 {
     peer_group group{6};
     group.relaying_peer = 4;
@@ -131,7 +134,7 @@
     CHECK(fixture.client.direct_path_down_for());
     CHECK(fixture.client.reachable());
     group.request_count = 0;
-    // The one that has the store is asked first from then on.
+    // From now on, the peer that relayed the call is tried first.
     CHECK(query_succeeds());
     CHECK(group.request_count == 1);
     group.relaying_peer = -1;
@@ -142,15 +145,15 @@
     CHECK(group.request_count <= 1);
 }
 
-// A feed that hung for as long as a slow call may take let a request reach a target two seconds after its
-// leave.
-TEST_CASE("a feed that hangs ends soon after its wait, however long calls may take at present")
+// Regression: a feed call that hung for the full timeout of a slow call delayed the news that a target was
+// draining, and a request was sent to the target two seconds after it had begun to drain.
+TEST_CASE("a feed call that hangs fails soon after its wait, regardless of the current call timeout")
 {
     client_fixture fixture;
     fixture.store.set_fault(standins::table_fault::silent);
     for (int n = 0; n < 4; ++n)
     {
-        // Each silence lets the next call take longer.
+        // Each timeout increases the timeout of the next call.
         std::ignore = fixture.wait_for<gateway::query_reply>([&](auto done)
                                                              { fixture.client.query({.table = "t"}, done); });
     }
@@ -158,11 +161,11 @@
     const auto reply =
         fixture.wait_for<gateway::feed_reply>([&](auto done) { fixture.client.follow("t", 0, 1s, done); });
     CHECK(reply.outcome == gateway::feed_outcome::failed);
-    // 1.5 s, against 3.5 s; the rest is for busy machines.
+    // Expected: 1.5 s, or 3.5 s with the fault; the bound leaves a margin for loaded machines.
     CHECK(std::chrono::steady_clock::now() - start_time < 3s);
 }
 
-TEST_CASE("what the store says of a version that it has forgotten, and of rows that are there")
+TEST_CASE("the client reports existing rows, removals, and versions whose history the store has discarded")
 {
     client_fixture fixture;
     fixture.store.put("t", "a", "value");
