--- a/bench/decision_bench.cpp
+++ b/bench/decision_bench.cpp
@@ -23,7 +23,7 @@
 
 struct program_row
 {
-    std::vector<cached_on> cached;
+    std::vector<cached_prefix> cached;
     std::optional<std::size_t> last;
 };
 
@@ -34,7 +34,7 @@
     {
         target_view view{.name = {"target-" + std::to_string(n)},
                          .failure_domain = {"domain-" + std::to_string(n % 5)},
-                         .reported = now};
+                         .report_time = now};
         view.report.queued_prefill = static_cast<token_count>(random() % 20'000);
         view.report.queued_decode = static_cast<token_count>(random() % 2'000);
         view.report.prefill_rate = 8'000;
@@ -66,7 +66,7 @@
         const std::size_t last = random() % count;
         programs[id] = {{{last, 6'000}, {random() % count, 2'000}}, last};
     }
-    const placement_options options{.policy = expected_finish{}};
+    const placement_options options{.policy = earliest_finish{}};
     std::uint64_t sequence = 0;
     for (auto _ : state)
     {
@@ -74,10 +74,10 @@
         const auto& row = programs.at(id);
         const placement_query query{.program = id,
                                     .prompt_tokens = 6'200,
-                                    .expected_completion = 100,
+                                    .expected_completion_tokens = 100,
                                     .cached = row.cached,
-                                    .own_domain = {"domain-1"},
-                                    .last = row.last,
+                                    .local_domain = {"domain-1"},
+                                    .previous_target = row.last,
                                     .sequence = sequence++};
         benchmark::DoNotOptimize(choose_target(query, targets, now, options));
     }
--- a/bench/policy/sim_home.cpp
+++ b/bench/policy/sim_home.cpp
@@ -14,9 +14,9 @@
 /// Reports are so old when they arrive.
 constexpr core_duration report_lag = std::chrono::milliseconds{100};
 
-std::vector<cached_on>::iterator entry_of(std::vector<cached_on>& cached, std::size_t target)
+std::vector<cached_prefix>::iterator entry_of(std::vector<cached_prefix>& cached, std::size_t target)
 {
-    return std::ranges::find(cached, target, &cached_on::target);
+    return std::ranges::find(cached, target, &cached_prefix::target);
 }
 
 } // namespace
@@ -39,18 +39,19 @@
     {
         if (view.usable)
         {
-            backlog.backlog += expected_queue(view, now, m_system.placement);
-            ++backlog.targets;
+            backlog.drain_time += expected_queue_delay(view, now, m_system.placement);
+            ++backlog.usable_targets;
         }
     }
-    backlog.backlog /= std::max(backlog.targets, 1U);
+    backlog.drain_time /= std::max(backlog.usable_targets, 1U);
     const double cost =
         static_cast<double>(query.prompt_tokens) / m_system.placement.default_prefill_rate +
         static_cast<double>(query.expected_completion) / m_system.placement.default_decode_rate;
-    const admission_query asked{.estimated_cost = std::chrono::duration_cast<core_duration>(seconds{cost}),
+    const admission_query asked{.estimated_duration =
+                                    std::chrono::duration_cast<core_duration>(seconds{cost}),
                                 .priority = query.priority,
                                 .first_turn = query.first_turn};
-    return refuse_for(asked, backlog, *m_system.overload);
+    return overload_retry_after(asked, backlog, *m_system.overload);
 }
 
 std::optional<placement_choice> sim_home::place(const home_query& query, core_time now)
@@ -59,10 +60,10 @@
     const auto cached = believed(query);
     const placement_query asked{.program = query.program,
                                 .prompt_tokens = query.prompt_tokens,
-                                .expected_completion = query.expected_completion,
+                                .expected_completion_tokens = query.expected_completion,
                                 .cached = cached,
-                                .own_domain = m_own_domain,
-                                .last = query.last,
+                                .local_domain = m_own_domain,
+                                .previous_target = query.last,
                                 .sequence = m_sequence++};
     return choose_target(asked, m_views, now, m_system.placement);
 }
@@ -70,14 +71,14 @@
 token_count sim_home::believed_at(const home_query& query, std::size_t target) const
 {
     const auto cached = believed(query);
-    const auto it = std::ranges::find(cached, target, &cached_on::target);
+    const auto it = std::ranges::find(cached, target, &cached_prefix::target);
     return it == cached.end() ? 0 : std::min(it->tokens, query.prompt_tokens);
 }
 
 void sim_home::on_report(std::size_t target, const target_load& load, core_time now)
 {
     m_views[target].report = load;
-    m_views[target].reported = now;
+    m_views[target].report_time = now;
     m_targets[target].tracker.on_report(now);
 }
 
@@ -88,7 +89,7 @@
         const auto it = m_cached.find(program);
         if (it != m_cached.end())
         {
-            std::erase_if(it->second, [target](const cached_on& copy) { return copy.target == target; });
+            std::erase_if(it->second, [target](const cached_prefix& copy) { return copy.target == target; });
         }
     }
     for (const auto& held : cache.held)
@@ -152,12 +153,12 @@
         m_views[n].usable = target.connected && (!m_system.breaker || target.breaker.allows(now));
         if (m_system.correct_reports)
         {
-            target.tracker.fill(m_views[n], now, m_system.placement.report_lifetime);
+            target.tracker.apply_to(m_views[n], now, m_system.placement.report_lifetime);
         }
     }
 }
 
-std::vector<cached_on> sim_home::believed(const home_query& query) const
+std::vector<cached_prefix> sim_home::believed(const home_query& query) const
 {
     if (const auto it = m_cached.find(query.program); it != m_cached.end())
     {
--- a/bench/policy/sim_home.hpp
+++ b/bench/policy/sim_home.hpp
@@ -76,14 +76,14 @@
     };
 
     void refresh(core_time now);
-    [[nodiscard]] std::vector<cached_on> believed(const home_query& query) const;
+    [[nodiscard]] std::vector<cached_prefix> believed(const home_query& query) const;
     void ended(std::size_t target, const call_ref& call);
 
     const system_options& m_system;
     failure_domain_name m_own_domain;
     std::vector<target_view> m_views;
     std::vector<target_state> m_targets;
-    std::unordered_map<program_id, std::vector<cached_on>> m_cached;
+    std::unordered_map<program_id, std::vector<cached_prefix>> m_cached;
     retry_budget m_retries;
     pause_estimator m_pauses;
     std::uint64_t m_sequence = 0;
--- a/bench/policy/sim_target.cpp
+++ b/bench/policy/sim_target.cpp
@@ -14,7 +14,7 @@
 
 constexpr engine_limits no_limits{.max_running = std::numeric_limits<std::uint32_t>::max(),
                                   .max_tokens = std::numeric_limits<token_count>::max() / 2,
-                                  .max_prefill = std::numeric_limits<token_count>::max() / 2};
+                                  .max_prefill_tokens = std::numeric_limits<token_count>::max() / 2};
 
 standins::engine_options engine_of(const system_options& system)
 {
@@ -67,7 +67,7 @@
 
 target_load sim_target::load() const
 {
-    target_load load = describe_load(m_queue, m_admission, m_meter);
+    target_load load = make_load_report(m_queue, m_admission, m_meter);
     load.cache_capacity = m_engine.load().cache_capacity;
     load.cache_used = m_engine.load().cache_used;
     return load;
@@ -116,9 +116,9 @@
             paused.push_back({hint.program, it->second, hint.expected_rest});
         }
     }
-    const cache_memory memory{.capacity = load.cache_capacity,
-                              .used = load.cache_used,
-                              .prefill_rate = m_meter.speed().prefill_rate};
+    const engine_cache_state memory{.capacity = load.cache_capacity,
+                                    .used = load.cache_used,
+                                    .prefill_rate = m_meter.speed().prefill_rate};
     for (const auto& it : plan_retention(paused, memory, *m_system.retention))
     {
         release(it.program);
@@ -178,7 +178,7 @@
 {
     auto node = m_waiting.extract(call.call);
     const std::string name = stream_name(call.call);
-    m_admission.started(call);
+    m_admission.on_started(call);
     m_running.emplace(name, running_call{call, now, {}, {}});
     m_engine.start({.stream = {name},
                     .program = call.call.program,
@@ -195,7 +195,7 @@
     if (event.index == 0)
     {
         call.first_token = event.at;
-        m_admission.prefilled(call.waiting.call);
+        m_admission.on_prefilled(call.waiting.call);
         const token_count computed = call.waiting.prompt_tokens - call.waiting.expected_cached;
         m_meter.on_prefill(computed, event.at - std::max(call.started, m_prefill_free));
         m_prefill_free = event.at;
@@ -206,7 +206,7 @@
 {
     auto node = m_running.extract(event.stream.value);
     const auto& call = node.mapped();
-    m_admission.finished(call.waiting.call);
+    m_admission.on_finished(call.waiting.call);
     const core_duration decode = call.first_token ? event.at - *call.first_token : core_duration{};
     m_meter.on_decode(event.usage.completion - 1, decode, call.waiting.max_tokens);
     completed.push_back({call.waiting.call, event.usage, call.answer});
--- a/bench/policy/system_options.cpp
+++ b/bench/policy/system_options.cpp
@@ -10,11 +10,11 @@
 
 queue_order first_come()
 {
-    return {.class_step = {},
-            .attained_step = {},
-            .attained_limit = {},
-            .workspace_step = {},
-            .workspace_limit = {},
+    return {.class_delay = {},
+            .attained_delay = {},
+            .max_attained_delay = {},
+            .workspace_delay = {},
+            .max_workspace_delay = {},
             .deadline_margin = {}};
 }
 
@@ -50,9 +50,9 @@
     return options;
 }
 
-expected_finish& finish_policy(system_options& options)
+earliest_finish& finish_policy(system_options& options)
 {
-    return std::get<expected_finish>(options.placement.policy);
+    return std::get<earliest_finish>(options.placement.policy);
 }
 
 } // namespace
@@ -61,7 +61,7 @@
 {
     system_options options;
     options.name = "masticcourse";
-    options.placement.policy = expected_finish{};
+    options.placement.policy = earliest_finish{};
     options.admission = engine_limits{};
     options.overload = overload_options{};
     return options;
@@ -84,9 +84,9 @@
         without("recompute weight", [](auto& it) { finish_policy(it).recompute_weight = 1; }),
         without("report correction", [](auto& it) { it.correct_reports = false; }),
         without("shared prefixes of sub-agents", [](auto& it) { it.share_with_children = false; }),
-        without("class order", [](auto& it) { it.order.class_step = {}; }),
-        without("attained service", [](auto& it) { it.order.attained_step = {}; }),
-        without("workspace fairness", [](auto& it) { it.order.workspace_step = {}; }),
+        without("class order", [](auto& it) { it.order.class_delay = {}; }),
+        without("attained service", [](auto& it) { it.order.attained_delay = {}; }),
+        without("workspace fairness", [](auto& it) { it.order.workspace_delay = {}; }),
         without("engine admission", [](auto& it) { it.admission.reset(); }),
         without("edge admission", [](auto& it) { it.overload.reset(); }),
         with("retention", [](auto& it) { it.retention = retention_options{}; }),
--- a/bench/policy/world.cpp
+++ b/bench/policy/world.cpp
@@ -275,15 +275,15 @@
     const auto& turn = p.plan->turns[p.next_turn];
     core_duration delay = one_way;
     token_count cached = home.believed_at(query, choice.target);
-    if (choice.move_prefix_from)
+    if (choice.transfer_prefix_from)
     {
-        const auto& policy = std::get<expected_finish>(m_system.placement.policy);
-        const token_count moved = home.believed_at(query, *choice.move_prefix_from);
+        const auto& policy = std::get<earliest_finish>(m_system.placement.policy);
+        const token_count moved = home.believed_at(query, *choice.transfer_prefix_from);
         const std::chrono::duration<double> transfer{static_cast<double>(moved) / policy.transfer_rate};
         delay += std::chrono::duration_cast<core_duration>(transfer) + policy.transfer_overhead;
         cached = moved;
         const program_id owner = p.last ? query.program : query.parent;
-        const std::string bytes = m_targets[*choice.move_prefix_from].target.export_prefix(owner);
+        const std::string bytes = m_targets[*choice.transfer_prefix_from].target.export_prefix(owner);
         m_time.after(delay, [this, bytes, owner = query.program, to = choice.target]
                      { m_targets[to].target.import_prefix(owner, bytes, m_time.now()); });
     }
@@ -373,7 +373,7 @@
         if (p.pausing && !p.ended && p.last == target)
         {
             const auto rest =
-                m_homes[p.home].pauses().expected_rest(p.paused_by, m_time.now() - p.paused_since);
+                m_homes[p.home].pauses().expected_remaining(p.paused_by, m_time.now() - p.paused_since);
             hints.push_back({p.plan->id, rest});
         }
     }
--- a/include/masticcourse/policy/circuit_breaker.hpp
+++ b/include/masticcourse/policy/circuit_breaker.hpp
@@ -20,12 +20,12 @@
 struct breaker_options
 {
     /// Failures in a row that open the breaker.
-    std::uint32_t failures = 5;
+    std::uint32_t failure_threshold = 5;
     /// How long it stays open before probes go through; doubles with each failed probe.
-    core_duration open_for = std::chrono::seconds{1};
-    core_duration longest_open = std::chrono::seconds{30};
+    core_duration open_duration = std::chrono::seconds{1};
+    core_duration max_open_duration = std::chrono::seconds{30};
     /// Probes at once while half open; so many successes close it.
-    std::uint32_t probes = 2;
+    std::uint32_t half_open_probes = 2;
 };
 
 /// One target's breaker.
@@ -50,15 +50,15 @@
 
   private:
     void open(core_time now);
-    void settle(core_time now);
+    void update_state(core_time now);
 
     breaker_options m_options;
     breaker_state m_state = breaker_state::closed;
-    std::uint32_t m_failures = 0;
+    std::uint32_t m_consecutive_failures = 0;
     std::uint32_t m_probes_sent = 0;
-    std::uint32_t m_probes_passed = 0;
-    core_duration m_open_for{};
-    core_time m_reopens{};
+    std::uint32_t m_probes_succeeded = 0;
+    core_duration m_open_duration{};
+    core_time m_half_open_at{};
 };
 
 } // namespace masticcourse
--- a/include/masticcourse/policy/engine_admission.hpp
+++ b/include/masticcourse/policy/engine_admission.hpp
@@ -20,7 +20,7 @@
     /// Tokens of prompts and longest answers in the engine at once, so that it need not preempt.
     token_count max_tokens = 400'000;
     /// Tokens handed over whose prefill has not ended. One call may always prefill, however long.
-    token_count max_prefill = 8'000;
+    token_count max_prefill_tokens = 8'000;
 };
 
 /// Keeps count of what the engine has, and says whether the next call fits.
@@ -34,24 +34,24 @@
     [[nodiscard]] bool admits(const waiting_call& call) const;
 
     /// The call has been handed over.
-    void started(const waiting_call& call);
+    void on_started(const waiting_call& call);
 
     /// The call's first token has come: its prefill is over.
-    void prefilled(const call_ref& call);
+    void on_prefilled(const call_ref& call);
 
     /// The call has ended in any way.
-    void finished(const call_ref& call);
+    void on_finished(const call_ref& call);
 
-    [[nodiscard]] std::uint32_t running() const;
+    [[nodiscard]] std::uint32_t running_count() const;
 
     /// @return whether no slot is free
     [[nodiscard]] bool full() const;
 
     /// Tokens handed over and not yet prefilled.
-    [[nodiscard]] token_count prefilling() const;
+    [[nodiscard]] token_count pending_prefill_tokens() const;
 
     /// Tokens that running calls may still decode, at most.
-    [[nodiscard]] token_count decoding() const;
+    [[nodiscard]] token_count pending_decode_tokens() const;
 
   private:
     struct running_call
--- a/include/masticcourse/policy/hedge.hpp
+++ b/include/masticcourse/policy/hedge.hpp
@@ -21,7 +21,7 @@
     double factor = 1.5;
     /// Recent calls that are remembered, and the fewest from which lateness can be told.
     std::size_t window = 128;
-    std::size_t fewest = 32;
+    std::size_t min_samples = 32;
     /// Hedges for each call, so that a slow service is not sent twice the work.
     retry_budget_options budget{.ratio = 0.05, .burst = 5};
 };
@@ -50,8 +50,8 @@
   private:
     hedge_options m_options;
     retry_budget m_budget{m_options.budget};
-    std::vector<core_duration> m_recent;
-    std::size_t m_next = 0;
+    std::vector<core_duration> m_latencies;
+    std::size_t m_next_index = 0;
 };
 
 } // namespace masticcourse
--- a/include/masticcourse/policy/load_tracker.hpp
+++ b/include/masticcourse/policy/load_tracker.hpp
@@ -34,8 +34,9 @@
     void on_ended(const call_ref& call);
 
     /// Writes the own work that @a view's report can't know of into it.
-    /// @param lifetime a report older than this counts for nothing: all own calls are taken into account
-    void fill(target_view& view, core_time now, core_duration lifetime) const;
+    /// @param report_lifetime a report older than this counts for nothing: all own calls are taken into
+    /// account
+    void apply_to(target_view& view, core_time now, core_duration report_lifetime) const;
 
     /// @return own calls under way there
     [[nodiscard]] std::size_t in_flight() const;
@@ -46,17 +47,17 @@
         token_count prefill = 0;
         token_count decode = 0;
         core_time sent;
-        bool reported = false;
+        bool in_report = false;
     };
 
     core_duration m_lag = std::chrono::milliseconds{1};
-    core_time m_reported{};
+    core_time m_last_report{};
     std::map<call_ref, sent_call> m_calls;
     /// The work of calls that the last report can't know of, and of all.
-    token_count m_new_prefill = 0;
-    token_count m_new_decode = 0;
-    token_count m_all_prefill = 0;
-    token_count m_all_decode = 0;
+    token_count m_unreported_prefill = 0;
+    token_count m_unreported_decode = 0;
+    token_count m_total_prefill = 0;
+    token_count m_total_decode = 0;
 };
 
 } // namespace masticcourse
--- a/include/masticcourse/policy/loop_guard.hpp
+++ b/include/masticcourse/policy/loop_guard.hpp
@@ -13,9 +13,9 @@
 
 struct loop_limits
 {
-    std::uint32_t turns = 400;
+    std::uint32_t max_turns = 400;
     /// The same request may come so many times among the last @a window ones.
-    std::uint32_t repeats = 8;
+    std::uint32_t max_repeats = 8;
     std::size_t window = 32;
 };
 
@@ -34,8 +34,8 @@
   private:
     loop_limits m_limits;
     std::uint32_t m_turns = 0;
-    std::vector<std::uint64_t> m_recent;
-    std::size_t m_next = 0;
+    std::vector<std::uint64_t> m_recent_digests;
+    std::size_t m_next_index = 0;
 };
 
 } // namespace masticcourse
--- a/include/masticcourse/policy/pause_estimator.hpp
+++ b/include/masticcourse/policy/pause_estimator.hpp
@@ -27,11 +27,11 @@
     /// How much longer a pause will last.
     /// @param elapsed how long it has lasted already
     /// @return the mean of what is left of longer pauses; @a elapsed itself if none was ever longer
-    [[nodiscard]] core_duration expected_rest(const service_name& tool, core_duration elapsed) const;
+    [[nodiscard]] core_duration expected_remaining(const service_name& tool, core_duration elapsed) const;
 
   private:
-    struct tables;
-    std::unique_ptr<tables> m_tables;
+    struct histograms;
+    std::unique_ptr<histograms> m_histograms;
 };
 
 } // namespace masticcourse
--- a/include/masticcourse/policy/placement.hpp
+++ b/include/masticcourse/policy/placement.hpp
@@ -23,7 +23,7 @@
     failure_domain_name failure_domain;
     target_load report;
     /// When @a report arrived.
-    core_time reported{};
+    core_time report_time{};
     /// Own work sent since the report less own work known to be finished since; may be negative.
     token_count in_flight_prefill = 0;
     token_count in_flight_decode = 0;
@@ -34,7 +34,7 @@
 };
 
 /// A prefix of the program that a target's engine is believed to hold.
-struct cached_on
+struct cached_prefix
 {
     /// Index of the target in the span of views.
     std::size_t target = 0;
@@ -46,11 +46,11 @@
 {
     program_id program;
     token_count prompt_tokens = 0;
-    token_count expected_completion = 0;
-    std::span<const cached_on> cached;
-    failure_domain_name own_domain;
+    token_count expected_completion_tokens = 0;
+    std::span<const cached_prefix> cached;
+    failure_domain_name local_domain;
     /// Where the program's previous call went.
-    std::optional<std::size_t> last;
+    std::optional<std::size_t> previous_target;
     /// A number that differs from one call to the next; only `round_robin` and sampling use it.
     std::uint64_t sequence = 0;
 };
@@ -60,16 +60,16 @@
 {
     std::size_t target = 0;
     /// The time until the call's last token, as estimated; zero for policies that estimate nothing.
-    core_duration expected_finish{};
+    core_duration estimated_duration{};
     /// The target whose KV cache is to be exported and imported at @a target first.
-    std::optional<std::size_t> move_prefix_from;
+    std::optional<std::size_t> transfer_prefix_from;
 };
 
 /// @name Policies
 /// @{
 
 /// Least sum of queue, prefill of what is not cached, and decode; see docs/design/policy.md.
-struct expected_finish
+struct earliest_finish
 {
     /// The weight of prefill that a cold target computes again: it delays others too, so more than its own
     /// time.
@@ -79,7 +79,7 @@
     /// The fixed cost of one move.
     core_duration transfer_overhead = std::chrono::milliseconds{20};
     /// Targets looked at besides those that hold a prefix; 0 looks at all.
-    std::size_t sample = 16;
+    std::size_t sample_size = 16;
 };
 
 /// Each usable target in turn.
@@ -97,7 +97,7 @@
 {
 };
 
-using placement_policy = std::variant<expected_finish, round_robin, least_load, sticky>;
+using placement_policy = std::variant<earliest_finish, round_robin, least_load, sticky>;
 /// @}
 
 /// How calls are placed.
@@ -108,7 +108,7 @@
     double default_prefill_rate = 8000;
     double default_decode_rate = 700;
     /// Sequences of an engine's full batch, which share its decode rate.
-    double batch = 16;
+    double batch_size = 16;
     /// How much each running sequence lengthens the steps of the others, as a part of a step.
     double batch_slowdown = 0.02;
     /// A report older than this tells nothing about the queue.
@@ -122,7 +122,7 @@
                                                             core_time now, const placement_options& options);
 
 /// How long a new call would wait at @a target before its own prefill begins, as estimated.
-[[nodiscard]] core_duration expected_queue(const target_view& target, core_time now,
-                                           const placement_options& options);
+[[nodiscard]] core_duration expected_queue_delay(const target_view& target, core_time now,
+                                                 const placement_options& options);
 
 } // namespace masticcourse
--- a/include/masticcourse/policy/rate_meter.hpp
+++ b/include/masticcourse/policy/rate_meter.hpp
@@ -27,34 +27,34 @@
   public:
     rate_meter() = default;
 
-    /// @param nominal what is believed at first
+    /// @param initial_speed what is believed at first
     /// @param slots   sequences of a full batch
-    rate_meter(const engine_speed& nominal, std::uint32_t slots);
+    rate_meter(const engine_speed& initial_speed, std::uint32_t slots);
 
     /// A call's first token came.
     /// @param tokens tokens computed for it
-    /// @param took   the time since it, or the prefill before it, could begin
-    void on_prefill(token_count tokens, core_duration took);
+    /// @param elapsed   the time since it, or the prefill before it, could begin
+    void on_prefill(token_count tokens, core_duration elapsed);
 
     /// A call has ended.
     /// @param tokens     tokens of the answer after the first
-    /// @param took       the time from the first token to the last
+    /// @param elapsed       the time from the first token to the last
     /// @param max_tokens what the caller allowed
-    void on_decode(token_count tokens, core_duration took, token_count max_tokens);
+    void on_decode(token_count tokens, core_duration elapsed, token_count max_tokens);
 
     [[nodiscard]] engine_speed speed() const;
 
     /// @return the part of the allowed answer length that answers use, on average
-    [[nodiscard]] double answer_share() const;
+    [[nodiscard]] double answer_length_ratio() const;
 
   private:
     engine_speed m_speed;
     std::uint32_t m_slots = 16;
-    double m_answer_share = 0.5;
+    double m_answer_length_ratio = 0.5;
 };
 
 /// The report of a target's load: the work in front of a new call.
-[[nodiscard]] target_load describe_load(const target_queue& queue, const engine_admission& engine,
-                                        const rate_meter& meter);
+[[nodiscard]] target_load make_load_report(const target_queue& queue, const engine_admission& engine,
+                                           const rate_meter& meter);
 
 } // namespace masticcourse
--- a/include/masticcourse/policy/retry.hpp
+++ b/include/masticcourse/policy/retry.hpp
@@ -16,8 +16,8 @@
 /// How the waits between attempts grow.
 struct backoff_options
 {
-    core_duration first = std::chrono::milliseconds{50};
-    core_duration longest = std::chrono::seconds{5};
+    core_duration initial_delay = std::chrono::milliseconds{50};
+    core_duration max_delay = std::chrono::seconds{5};
     double factor = 2.0;
 };
 
--- a/include/masticcourse/policy/target_queue.hpp
+++ b/include/masticcourse/policy/target_queue.hpp
@@ -42,19 +42,19 @@
 struct queue_order
 {
     /// How long a class waits behind the one above it.
-    core_duration class_step = std::chrono::seconds{20};
+    core_duration class_delay = std::chrono::seconds{20};
     /// How long a call waits for each thousand tokens that its program has received.
-    core_duration attained_step = std::chrono::milliseconds{100};
+    core_duration attained_delay = std::chrono::milliseconds{100};
     /// The most that attained service counts for.
-    core_duration attained_limit = std::chrono::seconds{5};
+    core_duration max_attained_delay = std::chrono::seconds{5};
     /// How long a workspace waits for each thousand tokens that it has had more than the least served one.
-    core_duration workspace_step = std::chrono::milliseconds{200};
-    core_duration workspace_limit = std::chrono::seconds{10};
+    core_duration workspace_delay = std::chrono::milliseconds{200};
+    core_duration max_workspace_delay = std::chrono::seconds{10};
     /// A call with a deadline is due this long before it.
     core_duration deadline_margin = std::chrono::seconds{5};
 
     /// @return the longest that all rules together can put a call behind a later one
-    [[nodiscard]] core_duration longest_delay() const;
+    [[nodiscard]] core_duration max_total_delay() const;
 };
 
 /// Waiting calls, next one first.
@@ -101,32 +101,32 @@
     struct entry
     {
         waiting_call call;
-        position place;
+        position queue_position;
     };
 
     struct workspace_queue
     {
         std::map<position, call_ref> waiting;
         /// Tokens served, raised to the least of the waiting workspaces when it comes back from idleness.
-        token_count served = 0;
+        token_count served_tokens = 0;
     };
 
-    [[nodiscard]] position place_of(const waiting_call& call);
+    [[nodiscard]] position assign_position(const waiting_call& call);
     [[nodiscard]] const position* next_of(const workspace_queue& queue) const;
     [[nodiscard]] std::map<workspace_id, workspace_queue>::const_iterator next_workspace() const;
     [[nodiscard]] token_count least_served() const;
-    void count(const waiting_call& call, int sign);
-    waiting_call take(std::map<call_ref, entry>::iterator it);
+    void adjust_totals(const waiting_call& call, int sign);
+    waiting_call extract(std::map<call_ref, entry>::iterator it);
 
     queue_order m_order;
     std::map<call_ref, entry> m_calls;
     std::map<workspace_id, workspace_queue> m_workspaces;
     std::set<std::pair<core_time, call_ref>> m_deadlines;
     /// What the last served workspace had had before; where one that was idle begins.
-    token_count m_floor = 0;
-    std::uint64_t m_sequence = 0;
-    token_count m_prefill = 0;
-    token_count m_decode = 0;
+    token_count m_served_floor = 0;
+    std::uint64_t m_next_sequence = 0;
+    token_count m_queued_prefill = 0;
+    token_count m_queued_decode = 0;
 };
 
 } // namespace masticcourse
--- a/src/control/entry_calls.cpp
+++ b/src/control/entry_calls.cpp
@@ -143,8 +143,8 @@
     {
         return;
     }
-    runtime.guard =
-        loop_guard{{.turns = state.view.limits.turn_limit, .repeats = state.view.limits.repeat_limit}};
+    runtime.guard = loop_guard{
+        {.max_turns = state.view.limits.turn_limit, .max_repeats = state.view.limits.repeat_limit}};
     std::ranges::for_each(program.turns, [&](const turn& it) { runtime.guard.check(it.request_digest); });
 }
 
--- a/src/control/entry_dispatch.cpp
+++ b/src/control/entry_dispatch.cpp
@@ -16,7 +16,7 @@
 struct service_view
 {
     std::vector<target_view> targets;
-    std::vector<cached_on> cached;
+    std::vector<cached_prefix> cached;
     std::optional<std::size_t> last;
 };
 
@@ -34,9 +34,9 @@
     target_view view{.name = peer.known.name,
                      .failure_domain = peer.known.failure_domain,
                      .report = target.report.value_or(target_load{}),
-                     .reported = target.reported,
+                     .report_time = target.reported,
                      .usable = is_usable(state, peer, call)};
-    target.tracker.fill(view, state.now, state.options.placement.report_lifetime);
+    target.tracker.apply_to(view, state.now, state.options.placement.report_lifetime);
     return view;
 }
 
@@ -85,7 +85,7 @@
 
 token_count cached_at(const service_view& view, std::size_t target)
 {
-    const auto it = std::ranges::find(view.cached, target, &cached_on::target);
+    const auto it = std::ranges::find(view.cached, target, &cached_prefix::target);
     return it != view.cached.end() ? it->tokens : 0;
 }
 
@@ -191,10 +191,10 @@
         .program = call.ref.program,
         .prompt_tokens = tokens,
         // Answers are mostly shorter than they may be; half is what the policy was measured with.
-        .expected_completion = call.request.max_tokens / 2,
+        .expected_completion_tokens = call.request.max_tokens / 2,
         .cached = view.cached,
-        .own_domain = state.options.failure_domain,
-        .last = view.last,
+        .local_domain = state.options.failure_domain,
+        .previous_target = view.last,
         .sequence = state.placements++};
     const auto choice = choose_target(query, view.targets, state.now, state.options.placement);
     if (!choice)
@@ -281,17 +281,17 @@
     {
         if (view.usable)
         {
-            backlog.backlog += expected_queue(view, state.now, state.options.placement);
-            ++backlog.targets;
+            backlog.drain_time += expected_queue_delay(view, state.now, state.options.placement);
+            ++backlog.usable_targets;
         }
     }
-    backlog.backlog /= std::max(backlog.targets, 1U);
+    backlog.drain_time /= std::max(backlog.usable_targets, 1U);
     const auto& program = *state.programs.find(call.ref.program);
-    const admission_query query{.estimated_cost = cost_of(state, call),
+    const admission_query query{.estimated_duration = cost_of(state, call),
                                 .priority = program.spec.priority,
                                 .first_turn = program.turns.empty(),
-                                .remaining = call.deadline - state.now};
-    const auto wait = refuse_for(query, backlog, state.options.overload);
+                                .time_to_deadline = call.deadline - state.now};
+    const auto wait = overload_retry_after(query, backlog, state.options.overload);
     if (!wait)
     {
         return {};
--- a/src/control/target_calls.cpp
+++ b/src/control/target_calls.cpp
@@ -22,7 +22,7 @@
     MASTICCOURSE_INVARIANT(call.stage == call_stage::queued, "a call starts a second time");
     call.stage = call_stage::running;
     call.started = s.now;
-    s.admission.started(waiting);
+    s.admission.on_started(waiting);
     s.counts.started += 1;
     s.trace(event_id::call_started, waiting.call);
 
@@ -60,7 +60,7 @@
             return;
         }
         start(s, *s.queue.pop(s.now));
-        MASTICCOURSE_INVARIANT(s.admission.running() <= s.options.max_running,
+        MASTICCOURSE_INVARIANT(s.admission.running_count() <= s.options.max_running,
                                "more calls at the target than it takes");
     }
 }
@@ -100,7 +100,7 @@
     {
         // Its place is given away; its name stays until the backend has let go, lest two runs cross.
         s.ending[ref] = core_time::max();
-        s.admission.finished(ref);
+        s.admission.on_finished(ref);
         const auto it = s.calls.find(ref);
         if (it != s.calls.end() && it->second.stage == call_stage::running)
         {
@@ -125,7 +125,7 @@
     if (call.tokens.empty())
     {
         call.first_token = s.now;
-        s.admission.prefilled(input.call);
+        s.admission.on_prefilled(input.call);
     }
     call.tokens.push_back(input.text);
     call.bytes += input.text.size();
@@ -135,7 +135,7 @@
 
 void take_finished(target_state& s, const engine_finished& input)
 {
-    s.admission.finished(input.call);
+    s.admission.on_finished(input.call);
     s.ending.erase(input.call);
     const auto it = s.calls.find(input.call);
     if (it != s.calls.end() && it->second.stage == call_stage::running)
--- a/src/control/target_core.cpp
+++ b/src/control/target_core.cpp
@@ -228,7 +228,7 @@
     const target_state& s = *m_state;
     target_counts counts = s.counts;
     counts.queued = s.queue.size();
-    counts.running = s.admission.running();
+    counts.running = s.admission.running_count();
     counts.kept_bytes = s.bytes;
     counts.programs = s.programs.size();
     counts.links = s.links.size();
--- a/src/control/target_drain.cpp
+++ b/src/control/target_drain.cpp
@@ -47,7 +47,7 @@
     {
         return;
     }
-    const bool idle = s.calls.empty() && s.admission.running() == 0;
+    const bool idle = s.calls.empty() && s.admission.running_count() == 0;
     const bool late = s.now >= *s.drain_until;
     if (!idle && !late)
     {
--- a/src/control/target_reports.cpp
+++ b/src/control/target_reports.cpp
@@ -111,9 +111,9 @@
     target_load load{.service = s.options.service,
                      .failure_domain = s.options.domain,
                      .queued = static_cast<std::uint32_t>(s.queue.size()),
-                     .running = s.admission.running(),
-                     .queued_prefill = s.queue.queued_prefill() + s.admission.prefilling(),
-                     .queued_decode = s.queue.queued_decode() + s.admission.decoding(),
+                     .running = s.admission.running_count(),
+                     .queued_prefill = s.queue.queued_prefill() + s.admission.pending_prefill_tokens(),
+                     .queued_decode = s.queue.queued_decode() + s.admission.pending_decode_tokens(),
                      .cache_capacity = s.options.cache_capacity,
                      .prefill_rate = s.rates.prefill,
                      .leaving = s.leaving};
--- a/src/control/target_state.cpp
+++ b/src/control/target_state.cpp
@@ -17,7 +17,7 @@
     const token_count unlimited = std::numeric_limits<token_count>::max() / 2;
     return {.max_running = options.max_running,
             .max_tokens = options.cache_capacity > 0 ? options.cache_capacity : unlimited,
-            .max_prefill = max_unprefilled};
+            .max_prefill_tokens = max_unprefilled};
 }
 
 } // namespace
--- a/src/policy/engine_admission.cpp
+++ b/src/policy/engine_admission.cpp
@@ -8,12 +8,12 @@
 namespace
 {
 
-token_count prefill_of(const waiting_call& call)
+token_count uncached_prompt_tokens(const waiting_call& call)
 {
     return std::max<token_count>(call.prompt_tokens - call.expected_cached, 0);
 }
 
-token_count tokens_of(const waiting_call& call)
+token_count max_total_tokens(const waiting_call& call)
 {
     return call.prompt_tokens + call.max_tokens;
 }
@@ -28,15 +28,16 @@
     {
         return true;
     }
-    const bool has_slot = m_running.size() < m_limits.max_running;
-    const bool has_memory = m_tokens + tokens_of(call) <= m_limits.max_tokens;
-    const bool may_prefill = m_prefill == 0 || m_prefill + prefill_of(call) <= m_limits.max_prefill;
-    return has_slot && has_memory && may_prefill;
+    const bool slot_available = m_running.size() < m_limits.max_running;
+    const bool memory_available = m_tokens + max_total_tokens(call) <= m_limits.max_tokens;
+    const bool prefill_fits =
+        m_prefill == 0 || m_prefill + uncached_prompt_tokens(call) <= m_limits.max_prefill_tokens;
+    return slot_available && memory_available && prefill_fits;
 }
 
-void engine_admission::started(const waiting_call& call)
+void engine_admission::on_started(const waiting_call& call)
 {
-    const running_call added{tokens_of(call), prefill_of(call), call.max_tokens};
+    const running_call added{max_total_tokens(call), uncached_prompt_tokens(call), call.max_tokens};
     if (!m_running.emplace(call.call, added).second)
     {
         return;
@@ -46,7 +47,7 @@
     m_decode += added.decode;
 }
 
-void engine_admission::prefilled(const call_ref& call)
+void engine_admission::on_prefilled(const call_ref& call)
 {
     const auto it = m_running.find(call);
     if (it != m_running.end())
@@ -56,7 +57,7 @@
     }
 }
 
-void engine_admission::finished(const call_ref& call)
+void engine_admission::on_finished(const call_ref& call)
 {
     const auto it = m_running.find(call);
     if (it == m_running.end())
@@ -69,7 +70,7 @@
     m_running.erase(it);
 }
 
-std::uint32_t engine_admission::running() const
+std::uint32_t engine_admission::running_count() const
 {
     return static_cast<std::uint32_t>(m_running.size());
 }
@@ -79,12 +80,12 @@
     return m_running.size() >= m_limits.max_running;
 }
 
-token_count engine_admission::prefilling() const
+token_count engine_admission::pending_prefill_tokens() const
 {
     return m_prefill;
 }
 
-token_count engine_admission::decoding() const
+token_count engine_admission::pending_decode_tokens() const
 {
     return m_decode;
 }
--- a/src/policy/load_tracker.cpp
+++ b/src/policy/load_tracker.cpp
@@ -9,14 +9,14 @@
 
 void load_tracker::on_report(core_time now)
 {
-    m_reported = now;
-    m_new_prefill = 0;
-    m_new_decode = 0;
+    m_last_report = now;
+    m_unreported_prefill = 0;
+    m_unreported_decode = 0;
     for (auto& call : m_calls | std::views::values)
     {
-        call.reported = call.sent <= now - m_lag;
-        m_new_prefill += call.reported ? 0 : call.prefill;
-        m_new_decode += call.reported ? 0 : call.decode;
+        call.in_report = call.sent <= now - m_lag;
+        m_unreported_prefill += call.in_report ? 0 : call.prefill;
+        m_unreported_decode += call.in_report ? 0 : call.decode;
     }
 }
 
@@ -26,10 +26,10 @@
     {
         return;
     }
-    m_new_prefill += prefill;
-    m_new_decode += decode;
-    m_all_prefill += prefill;
-    m_all_decode += decode;
+    m_unreported_prefill += prefill;
+    m_unreported_decode += decode;
+    m_total_prefill += prefill;
+    m_total_decode += decode;
 }
 
 void load_tracker::on_ended(const call_ref& call)
@@ -40,18 +40,18 @@
         return;
     }
     const auto& ended = it->second;
-    m_new_prefill -= ended.reported ? 0 : ended.prefill;
-    m_new_decode -= ended.reported ? 0 : ended.decode;
-    m_all_prefill -= ended.prefill;
-    m_all_decode -= ended.decode;
+    m_unreported_prefill -= ended.in_report ? 0 : ended.prefill;
+    m_unreported_decode -= ended.in_report ? 0 : ended.decode;
+    m_total_prefill -= ended.prefill;
+    m_total_decode -= ended.decode;
     m_calls.erase(it);
 }
 
-void load_tracker::fill(target_view& view, core_time now, core_duration lifetime) const
+void load_tracker::apply_to(target_view& view, core_time now, core_duration report_lifetime) const
 {
-    const bool stale = now - m_reported > lifetime;
-    view.in_flight_prefill = stale ? m_all_prefill : m_new_prefill;
-    view.in_flight_decode = stale ? m_all_decode : m_new_decode;
+    const bool stale = now - m_last_report > report_lifetime;
+    view.in_flight_prefill = stale ? m_total_prefill : m_unreported_prefill;
+    view.in_flight_decode = stale ? m_total_decode : m_unreported_decode;
     view.in_flight = static_cast<std::uint32_t>(m_calls.size());
 }
 
--- a/src/policy/pause_estimator.cpp
+++ b/src/policy/pause_estimator.cpp
@@ -17,50 +17,50 @@
 using log_axis = bh::axis::regular<double, bh::axis::transform::log>;
 using pause_histogram = decltype(bh::make_histogram(log_axis{}));
 
-constexpr unsigned bins = 48;
-constexpr double shortest_seconds = 0.001;
-constexpr double longest_seconds = 7200;
+constexpr unsigned bin_count = 48;
+constexpr double min_pause_seconds = 0.001;
+constexpr double max_pause_seconds = 7200;
 /// Pauses of a tool before its own histogram is trusted.
-constexpr double fewest_pauses = 20;
+constexpr double min_tool_samples = 20;
 /// A histogram's old pauses lose half of their weight each time that it has counted so many.
-constexpr double pauses_before_halving = 4096;
+constexpr double samples_per_halving = 4096;
 /// Beyond so many tools, new ones share the histogram over all.
-constexpr std::size_t most_tools = 256;
+constexpr std::size_t max_tools = 256;
 
-pause_histogram make_pauses()
+pause_histogram make_pause_histogram()
 {
-    return bh::make_histogram(log_axis{bins, shortest_seconds, longest_seconds});
+    return bh::make_histogram(log_axis{bin_count, min_pause_seconds, max_pause_seconds});
 }
 
-struct pause_record
+struct decaying_histogram
 {
-    pause_histogram pauses = make_pauses();
-    double counted = 0;
+    pause_histogram pauses = make_pause_histogram();
+    double sample_count = 0;
 
     void add(double pause)
     {
-        if (counted >= pauses_before_halving)
+        if (sample_count >= samples_per_halving)
         {
             pauses *= 0.5;
-            counted *= 0.5;
+            sample_count *= 0.5;
         }
         pauses(pause);
-        counted += 1;
+        sample_count += 1;
     }
 };
 
 /// The mean of what is left, over all bins that reach past @a elapsed.
-double mean_rest(const pause_histogram& pauses, double elapsed)
+double mean_remaining(const pause_histogram& pauses, double elapsed)
 {
     double weight = 0;
     double sum = 0;
     for (const auto& bin : bh::indexed(pauses, bh::coverage::all))
     {
-        const double middle = std::clamp(bin.bin().center(), shortest_seconds, longest_seconds);
-        if (middle > elapsed)
+        const double center = std::clamp(bin.bin().center(), min_pause_seconds, max_pause_seconds);
+        if (center > elapsed)
         {
             weight += *bin;
-            sum += *bin * (middle - elapsed);
+            sum += *bin * (center - elapsed);
         }
     }
     return weight > 0 ? sum / weight : elapsed;
@@ -68,19 +68,19 @@
 
 } // namespace
 
-struct pause_estimator::tables
+struct pause_estimator::histograms
 {
-    std::unordered_map<service_name, pause_record> by_tool;
-    pause_record all;
+    std::unordered_map<service_name, decaying_histogram> by_tool;
+    decaying_histogram all_tools;
 
-    [[nodiscard]] const pause_record& of(const service_name& tool) const
+    [[nodiscard]] const decaying_histogram& for_tool(const service_name& tool) const
     {
         const auto it = by_tool.find(tool);
-        return it != by_tool.end() && it->second.counted >= fewest_pauses ? it->second : all;
+        return it != by_tool.end() && it->second.sample_count >= min_tool_samples ? it->second : all_tools;
     }
 };
 
-pause_estimator::pause_estimator() : m_tables(std::make_unique<tables>()) {}
+pause_estimator::pause_estimator() : m_histograms(std::make_unique<histograms>()) {}
 
 pause_estimator::~pause_estimator() = default;
 pause_estimator::pause_estimator(pause_estimator&&) noexcept = default;
@@ -88,18 +88,18 @@
 
 void pause_estimator::record(const service_name& tool, core_duration pause)
 {
-    const double length = seconds{pause}.count();
-    m_tables->all.add(length);
-    if (m_tables->by_tool.contains(tool) || m_tables->by_tool.size() < most_tools)
+    const double pause_seconds = seconds{pause}.count();
+    m_histograms->all_tools.add(pause_seconds);
+    if (m_histograms->by_tool.contains(tool) || m_histograms->by_tool.size() < max_tools)
     {
-        m_tables->by_tool[tool].add(length);
+        m_histograms->by_tool[tool].add(pause_seconds);
     }
 }
 
-core_duration pause_estimator::expected_rest(const service_name& tool, core_duration elapsed) const
+core_duration pause_estimator::expected_remaining(const service_name& tool, core_duration elapsed) const
 {
-    const double rest = mean_rest(m_tables->of(tool).pauses, seconds{elapsed}.count());
-    return std::chrono::duration_cast<core_duration>(seconds{rest});
+    const double remaining = mean_remaining(m_histograms->for_tool(tool).pauses, seconds{elapsed}.count());
+    return std::chrono::duration_cast<core_duration>(seconds{remaining});
 }
 
 } // namespace masticcourse
--- a/src/policy/rate_meter.cpp
+++ b/src/policy/rate_meter.cpp
@@ -11,43 +11,46 @@
 using seconds = std::chrono::duration<double>;
 
 /// The weight of one call among the earlier ones.
-constexpr double call_weight = 0.1;
+constexpr double sample_weight = 0.1;
 /// A prefill shorter than this says more of the step that it shared than of the engine's speed.
-constexpr token_count fewest_prefill_tokens = 256;
-constexpr token_count fewest_decode_tokens = 4;
+constexpr token_count min_prefill_tokens = 256;
+constexpr token_count min_decode_tokens = 4;
 
-void mix(double& average, double sample)
+void update_average(double& average, double sample)
 {
-    average += call_weight * (sample - average);
+    average += sample_weight * (sample - average);
 }
 
-token_count shared(token_count tokens, double share)
+token_count scaled_tokens(token_count tokens, double fraction)
 {
-    return static_cast<token_count>(static_cast<double>(tokens) * share);
+    return static_cast<token_count>(static_cast<double>(tokens) * fraction);
 }
 
 } // namespace
 
-rate_meter::rate_meter(const engine_speed& nominal, std::uint32_t slots) : m_speed(nominal), m_slots(slots) {}
+rate_meter::rate_meter(const engine_speed& initial_speed, std::uint32_t slots)
+    : m_speed(initial_speed), m_slots(slots)
+{
+}
 
-void rate_meter::on_prefill(token_count tokens, core_duration took)
+void rate_meter::on_prefill(token_count tokens, core_duration elapsed)
 {
-    if (tokens >= fewest_prefill_tokens && took > core_duration::zero())
+    if (tokens >= min_prefill_tokens && elapsed > core_duration::zero())
     {
-        mix(m_speed.prefill_rate, static_cast<double>(tokens) / seconds{took}.count());
+        update_average(m_speed.prefill_rate, static_cast<double>(tokens) / seconds{elapsed}.count());
     }
 }
 
-void rate_meter::on_decode(token_count tokens, core_duration took, token_count max_tokens)
+void rate_meter::on_decode(token_count tokens, core_duration elapsed, token_count max_tokens)
 {
-    if (tokens >= fewest_decode_tokens && took > core_duration::zero())
+    if (tokens >= min_decode_tokens && elapsed > core_duration::zero())
     {
-        mix(m_speed.decode_rate, static_cast<double>(tokens) * m_slots / seconds{took}.count());
+        update_average(m_speed.decode_rate, static_cast<double>(tokens) * m_slots / seconds{elapsed}.count());
     }
     if (max_tokens > 0)
     {
-        const double part = static_cast<double>(tokens + 1) / static_cast<double>(max_tokens);
-        mix(m_answer_share, std::min(part, 1.0));
+        const double length_ratio = static_cast<double>(tokens + 1) / static_cast<double>(max_tokens);
+        update_average(m_answer_length_ratio, std::min(length_ratio, 1.0));
     }
 }
 
@@ -56,18 +59,19 @@
     return m_speed;
 }
 
-double rate_meter::answer_share() const
+double rate_meter::answer_length_ratio() const
 {
-    return m_answer_share;
+    return m_answer_length_ratio;
 }
 
-target_load describe_load(const target_queue& queue, const engine_admission& engine, const rate_meter& meter)
+target_load make_load_report(const target_queue& queue, const engine_admission& engine,
+                             const rate_meter& meter)
 {
     target_load load;
     load.queued = static_cast<std::uint32_t>(queue.size());
-    load.running = engine.running();
-    load.queued_prefill = queue.queued_prefill() + engine.prefilling();
-    load.queued_decode = shared(queue.queued_decode(), meter.answer_share());
+    load.running = engine.running_count();
+    load.queued_prefill = queue.queued_prefill() + engine.pending_prefill_tokens();
+    load.queued_decode = scaled_tokens(queue.queued_decode(), meter.answer_length_ratio());
     load.prefill_rate = meter.speed().prefill_rate;
     load.decode_rate = meter.speed().decode_rate;
     return load;
--- a/src/policy/retry.cpp
+++ b/src/policy/retry.cpp
@@ -8,11 +8,12 @@
 
 core_duration backoff_delay(const backoff_options& options, unsigned attempt, random_source& random)
 {
-    const auto longest = static_cast<double>(options.longest.count());
+    const auto max_delay = static_cast<double>(options.max_delay.count());
     const auto exponent = static_cast<double>(std::max(attempt, 1U) - 1);
-    const double grown = static_cast<double>(options.first.count()) * std::pow(options.factor, exponent);
-    const double wait = std::min(grown, longest);
-    std::uniform_real_distribution<double> jitter{wait / 2, wait};
+    const double uncapped_delay =
+        static_cast<double>(options.initial_delay.count()) * std::pow(options.factor, exponent);
+    const double delay = std::min(uncapped_delay, max_delay);
+    std::uniform_real_distribution<double> jitter{delay / 2, delay};
     return core_duration{static_cast<core_duration::rep>(jitter(random))};
 }
 
--- a/src/policy/target_queue.cpp
+++ b/src/policy/target_queue.cpp
@@ -11,29 +11,29 @@
 namespace
 {
 
-constexpr token_count step_tokens = 1000;
+constexpr token_count tokens_per_step = 1000;
 constexpr int lowest_class = static_cast<int>(service_class::background);
 
-core_duration scaled(core_duration step, token_count tokens, core_duration limit)
+core_duration scaled_delay(core_duration step, token_count tokens, core_duration limit)
 {
-    return std::min(step * (std::max<token_count>(tokens, 0) / step_tokens), limit);
+    return std::min(step * (std::max<token_count>(tokens, 0) / tokens_per_step), limit);
 }
 
-token_count prefill_of(const waiting_call& call)
+token_count uncached_prompt_tokens(const waiting_call& call)
 {
     return std::max<token_count>(call.prompt_tokens - call.expected_cached, 0);
 }
 
-token_count cost_of(const waiting_call& call)
+token_count service_cost(const waiting_call& call)
 {
-    return prefill_of(call) + call.max_tokens;
+    return uncached_prompt_tokens(call) + call.max_tokens;
 }
 
 } // namespace
 
-core_duration queue_order::longest_delay() const
+core_duration queue_order::max_total_delay() const
 {
-    return class_step * lowest_class + attained_limit + workspace_limit;
+    return class_delay * lowest_class + max_attained_delay + max_workspace_delay;
 }
 
 target_queue::target_queue(const queue_order& order) : m_order(order) {}
@@ -48,16 +48,16 @@
     auto& workspace = m_workspaces[call.workspace];
     if (workspace.waiting.empty())
     {
-        workspace.served = std::max(workspace.served, m_floor);
+        workspace.served_tokens = std::max(workspace.served_tokens, m_served_floor);
     }
-    const position place = place_of(call);
-    workspace.waiting.emplace(place, ref);
+    const position queue_position = assign_position(call);
+    workspace.waiting.emplace(queue_position, ref);
     if (call.deadline)
     {
         m_deadlines.emplace(*call.deadline, ref);
     }
-    count(call, 1);
-    m_calls.emplace(ref, entry{std::move(call), place});
+    adjust_totals(call, 1);
+    m_calls.emplace(ref, entry{std::move(call), queue_position});
     return true;
 }
 
@@ -69,9 +69,9 @@
         return std::nullopt;
     }
     auto& workspace = m_workspaces.at(next->workspace);
-    m_floor = std::max(m_floor, least_served());
-    workspace.served += cost_of(*next);
-    return take(m_calls.find(next->call));
+    m_served_floor = std::max(m_served_floor, least_served());
+    workspace.served_tokens += service_cost(*next);
+    return extract(m_calls.find(next->call));
 }
 
 const waiting_call* target_queue::peek(core_time /*now*/) const
@@ -91,7 +91,7 @@
     {
         return false;
     }
-    take(it);
+    extract(it);
     return true;
 }
 
@@ -100,7 +100,7 @@
     std::vector<waiting_call> expired;
     while (!m_deadlines.empty() && m_deadlines.begin()->first <= now)
     {
-        expired.push_back(take(m_calls.find(m_deadlines.begin()->second)));
+        expired.push_back(extract(m_calls.find(m_deadlines.begin()->second)));
     }
     return expired;
 }
@@ -112,39 +112,40 @@
 
 token_count target_queue::queued_prefill() const
 {
-    return m_prefill;
+    return m_queued_prefill;
 }
 
 token_count target_queue::queued_decode() const
 {
-    return m_decode;
+    return m_queued_decode;
 }
 
-target_queue::position target_queue::place_of(const waiting_call& call)
+target_queue::position target_queue::assign_position(const waiting_call& call)
 {
     core_time due = call.arrived;
-    due += m_order.class_step * static_cast<int>(call.priority);
-    due += scaled(m_order.attained_step, call.attained, m_order.attained_limit);
+    due += m_order.class_delay * static_cast<int>(call.priority);
+    due += scaled_delay(m_order.attained_delay, call.attained, m_order.max_attained_delay);
     if (call.deadline)
     {
         due = std::min(due, *call.deadline - m_order.deadline_margin);
     }
-    return {due, m_sequence++};
+    return {due, m_next_sequence++};
 }
 
 std::map<workspace_id, target_queue::workspace_queue>::const_iterator target_queue::next_workspace() const
 {
     const token_count least = least_served();
-    const auto due = [&](const workspace_queue& queue)
+    const auto effective_position = [&](const workspace_queue& queue)
     {
-        const auto& first = queue.waiting.begin()->first;
-        const auto behind = scaled(m_order.workspace_step, queue.served - least, m_order.workspace_limit);
-        return position{first.due + behind, first.sequence};
+        const auto& first_position = queue.waiting.begin()->first;
+        const auto fairness_delay =
+            scaled_delay(m_order.workspace_delay, queue.served_tokens - least, m_order.max_workspace_delay);
+        return position{first_position.due + fairness_delay, first_position.sequence};
     };
     auto best = m_workspaces.end();
     for (auto it = m_workspaces.begin(); it != m_workspaces.end(); ++it)
     {
-        if (best == m_workspaces.end() || due(it->second) < due(best->second))
+        if (best == m_workspaces.end() || effective_position(it->second) < effective_position(best->second))
         {
             best = it;
         }
@@ -157,22 +158,22 @@
     token_count least = std::numeric_limits<token_count>::max();
     for (const auto& queue : m_workspaces | std::views::values)
     {
-        least = std::min(least, queue.served);
+        least = std::min(least, queue.served_tokens);
     }
-    return m_workspaces.empty() ? m_floor : least;
+    return m_workspaces.empty() ? m_served_floor : least;
 }
 
-void target_queue::count(const waiting_call& call, int sign)
+void target_queue::adjust_totals(const waiting_call& call, int sign)
 {
-    m_prefill += sign * prefill_of(call);
-    m_decode += sign * call.max_tokens;
+    m_queued_prefill += sign * uncached_prompt_tokens(call);
+    m_queued_decode += sign * call.max_tokens;
 }
 
-waiting_call target_queue::take(std::map<call_ref, entry>::iterator it)
+waiting_call target_queue::extract(std::map<call_ref, entry>::iterator it)
 {
     waiting_call call = std::move(it->second.call);
     const auto workspace = m_workspaces.find(call.workspace);
-    workspace->second.waiting.erase(it->second.place);
+    workspace->second.waiting.erase(it->second.queue_position);
     if (workspace->second.waiting.empty())
     {
         m_workspaces.erase(workspace);
@@ -181,7 +182,7 @@
     {
         m_deadlines.erase({*call.deadline, call.call});
     }
-    count(call, -1);
+    adjust_totals(call, -1);
     m_calls.erase(it);
     return call;
 }
--- a/tests/unit/test_cache_retention.cpp
+++ b/tests/unit/test_cache_retention.cpp
@@ -15,20 +15,20 @@
 TEST_CASE("pauses are learnt for each tool")
 {
     pause_estimator estimator;
-    const service_name quick{"quick"};
-    const service_name slow{"slow"};
+    const service_name fast_tool{"quick"};
+    const service_name slow_tool{"slow"};
     for (int n = 0; n < 100; ++n)
     {
-        estimator.record(quick, 100ms);
-        estimator.record(slow, 60s);
+        estimator.record(fast_tool, 100ms);
+        estimator.record(slow_tool, 60s);
     }
-    CHECK(estimator.expected_rest(quick, 0s) < 200ms);
-    CHECK(estimator.expected_rest(slow, 0s) > 40s);
-    CHECK(estimator.expected_rest(slow, 30s) < estimator.expected_rest(slow, 0s));
+    CHECK(estimator.expected_remaining(fast_tool, 0s) < 200ms);
+    CHECK(estimator.expected_remaining(slow_tool, 0s) > 40s);
+    CHECK(estimator.expected_remaining(slow_tool, 30s) < estimator.expected_remaining(slow_tool, 0s));
     // One that has lasted longer than any before will last as long again.
-    CHECK(estimator.expected_rest(quick, 10min) == core_duration{10min});
+    CHECK(estimator.expected_remaining(fast_tool, 10min) == core_duration{10min});
     // A tool that nobody has seen is like all of them together.
-    CHECK(estimator.expected_rest({"new"}, 0s) > 10s);
+    CHECK(estimator.expected_remaining({"new"}, 0s) > 10s);
 }
 
 TEST_CASE("retention")
@@ -36,7 +36,7 @@
     struct row
     {
         const char* name;
-        cache_memory memory;
+        engine_cache_state cache;
         std::string plan;
     };
     const std::vector<paused_prefix> paused{{{"a"}, 100, 1s}, {{"b"}, 100, 60s}, {{"c"}, 100, 5s}};
@@ -45,20 +45,28 @@
         {"the longest rest first", {.capacity = 1000, .used = 940}, "-b"},
         {"as many as it takes", {.capacity = 1000, .used = 1000}, "-b-c"},
         {"moved where that is cheaper and fits",
-         {.capacity = 1000, .used = 1000, .prefill_rate = 1, .transfer_rate = 100, .free_elsewhere = 150},
+         {.capacity = 1000,
+          .used = 1000,
+          .prefill_rate = 1,
+          .transfer_rate = 100,
+          .destination_free_tokens = 150},
          ">b-c"},
         {"dropped where a move is slower",
-         {.capacity = 1000, .used = 1000, .prefill_rate = 100, .transfer_rate = 10, .free_elsewhere = 900},
+         {.capacity = 1000,
+          .used = 1000,
+          .prefill_rate = 100,
+          .transfer_rate = 10,
+          .destination_free_tokens = 900},
          "-b-c"},
     };
-    const retention_options options{.high_mark = 0.93, .low_mark = 0.85};
+    const retention_options options{.high_watermark = 0.93, .low_watermark = 0.85};
     for (const auto& it : table)
     {
         CAPTURE(it.name);
         std::string plan;
-        for (const auto& action : plan_retention(paused, it.memory, options))
+        for (const auto& action : plan_retention(paused, it.cache, options))
         {
-            plan += (action.action == retention::move ? ">" : "-") + action.program.value;
+            plan += (action.action == retention_decision::transfer ? ">" : "-") + action.program.value;
         }
         CHECK(plan == it.plan);
     }
@@ -68,9 +76,9 @@
 {
     load_tracker tracker{100ms};
     target_view view;
-    const auto work_at = [&](core_time now)
+    const auto unreported_prefill_at = [&](core_time now)
     {
-        tracker.fill(view, now, 5s);
+        tracker.apply_to(view, now, 5s);
         return view.in_flight_prefill;
     };
     const call_ref first{{"a"}, {"1"}};
@@ -78,15 +86,15 @@
     tracker.on_report(core_time{});
     tracker.on_sent(first, 100, 10, core_time{} + 50ms);
     tracker.on_sent(second, 1000, 10, core_time{} + 240ms);
-    CHECK(work_at(core_time{} + 250ms) == 1100);
+    CHECK(unreported_prefill_at(core_time{} + 250ms) == 1100);
     tracker.on_report(core_time{} + 250ms);
-    CHECK(work_at(core_time{} + 250ms) == 1000);
+    CHECK(unreported_prefill_at(core_time{} + 250ms) == 1000);
     CHECK(view.in_flight == 2);
     // Once reports have stopped, all own work counts.
-    CHECK(work_at(core_time{} + 10s) == 1100);
+    CHECK(unreported_prefill_at(core_time{} + 10s) == 1100);
     tracker.on_ended(second);
-    CHECK(work_at(core_time{} + 260ms) == 0);
+    CHECK(unreported_prefill_at(core_time{} + 260ms) == 0);
     tracker.on_ended(first);
-    CHECK(work_at(core_time{} + 10s) == 0);
+    CHECK(unreported_prefill_at(core_time{} + 10s) == 0);
     CHECK(view.in_flight == 0);
 }
--- a/tests/unit/test_engine_admission.cpp
+++ b/tests/unit/test_engine_admission.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-waiting_call call_of(const std::string& name, token_count prompt, token_count cached = 0)
+waiting_call make_call(const std::string& name, token_count prompt, token_count cached = 0)
 {
     return {.call = {{name}, {"k"}}, .prompt_tokens = prompt, .expected_cached = cached, .max_tokens = 100};
 }
@@ -30,15 +30,18 @@
         waiting_call next;
         bool admitted;
     };
-    constexpr engine_limits limits{.max_running = 2, .max_tokens = 5000, .max_prefill = 1000};
+    constexpr engine_limits limits{.max_running = 2, .max_tokens = 5000, .max_prefill_tokens = 1000};
     const std::vector<row> table{
-        {"an idle engine takes any call", {}, call_of("n", 100000), true},
-        {"a second one that fits", {call_of("a", 400)}, call_of("n", 400), true},
-        {"no slot", {call_of("a", 100), call_of("b", 100)}, call_of("n", 100), false},
-        {"no memory", {call_of("a", 4000, 4000)}, call_of("n", 900, 900), false},
-        {"too much to prefill at once", {call_of("a", 800)}, call_of("n", 800), false},
-        {"what is cached needs no prefill", {call_of("a", 800)}, call_of("n", 800, 700), true},
-        {"one long prefill where nothing else prefills", {call_of("a", 800, 800)}, call_of("n", 3000), true},
+        {"an idle engine takes any call", {}, make_call("n", 100000), true},
+        {"a second one that fits", {make_call("a", 400)}, make_call("n", 400), true},
+        {"no slot", {make_call("a", 100), make_call("b", 100)}, make_call("n", 100), false},
+        {"no memory", {make_call("a", 4000, 4000)}, make_call("n", 900, 900), false},
+        {"too much to prefill at once", {make_call("a", 800)}, make_call("n", 800), false},
+        {"what is cached needs no prefill", {make_call("a", 800)}, make_call("n", 800, 700), true},
+        {"one long prefill where nothing else prefills",
+         {make_call("a", 800, 800)},
+         make_call("n", 3000),
+         true},
     };
     for (const auto& it : table)
     {
@@ -46,7 +49,7 @@
         engine_admission admission{limits};
         for (const auto& call : it.running)
         {
-            admission.started(call);
+            admission.on_started(call);
         }
         CHECK(admission.admits(it.next) == it.admitted);
     }
@@ -55,18 +58,18 @@
 TEST_CASE("counts go back to nothing, in whatever order calls end")
 {
     engine_admission admission;
-    admission.started(call_of("a", 500));
-    admission.started(call_of("b", 700, 200));
-    CHECK(admission.prefilling() == 1000);
-    admission.prefilled(call_of("a", 0).call);
-    admission.prefilled(call_of("a", 0).call);
-    CHECK(admission.prefilling() == 500);
-    admission.finished(call_of("b", 0).call);
-    admission.finished(call_of("a", 0).call);
-    admission.finished(call_of("a", 0).call);
-    CHECK(admission.prefilling() == 0);
-    CHECK(admission.decoding() == 0);
-    CHECK(admission.running() == 0);
+    admission.on_started(make_call("a", 500));
+    admission.on_started(make_call("b", 700, 200));
+    CHECK(admission.pending_prefill_tokens() == 1000);
+    admission.on_prefilled(make_call("a", 0).call);
+    admission.on_prefilled(make_call("a", 0).call);
+    CHECK(admission.pending_prefill_tokens() == 500);
+    admission.on_finished(make_call("b", 0).call);
+    admission.on_finished(make_call("a", 0).call);
+    admission.on_finished(make_call("a", 0).call);
+    CHECK(admission.pending_prefill_tokens() == 0);
+    CHECK(admission.pending_decode_tokens() == 0);
+    CHECK(admission.running_count() == 0);
 }
 
 TEST_CASE("the meter follows an engine that slows down")
@@ -79,16 +82,16 @@
     }
     CHECK(meter.speed().prefill_rate == doctest::Approx(800).epsilon(0.01));
     CHECK(meter.speed().decode_rate == doctest::Approx(1600.0 / 23).epsilon(0.01));
-    CHECK(meter.answer_share() == doctest::Approx(0.5).epsilon(0.02));
+    CHECK(meter.answer_length_ratio() == doctest::Approx(0.5).epsilon(0.02));
 }
 
 TEST_CASE("a report tells the work in front of a new call")
 {
     target_queue queue;
-    queue.push(call_of("q", 300, 100));
+    queue.push(make_call("q", 300, 100));
     engine_admission engine;
-    engine.started(call_of("r", 500));
-    const auto load = describe_load(queue, engine, rate_meter{});
+    engine.on_started(make_call("r", 500));
+    const auto load = make_load_report(queue, engine, rate_meter{});
     CHECK(load.queued == 1);
     CHECK(load.running == 1);
     CHECK(load.queued_prefill == 700);
--- a/tests/unit/test_placement.cpp
+++ b/tests/unit/test_placement.cpp
@@ -20,7 +20,7 @@
 target_view idle_target(const char* domain = "a")
 {
     return {
-        .failure_domain = {domain}, .report = {.prefill_rate = 8000, .decode_rate = 700}, .reported = now};
+        .failure_domain = {domain}, .report = {.prefill_rate = 8000, .decode_rate = 700}, .report_time = now};
 }
 
 placement_options with(placement_policy policy)
@@ -36,8 +36,8 @@
     {
         const char* name;
         std::vector<token_count> queued;
-        std::vector<cached_on> cached;
-        std::optional<std::size_t> last;
+        std::vector<cached_prefix> cached;
+        std::optional<std::size_t> previous_target;
         std::size_t chosen;
     };
     const std::vector<row> table{
@@ -60,9 +60,11 @@
             targets.push_back(idle_target());
             targets.back().report.queued_prefill = queued;
         }
-        const placement_query query{
-            .prompt_tokens = 9000, .expected_completion = 100, .cached = it.cached, .last = it.last};
-        const auto choice = choose_target(query, targets, now, with(expected_finish{}));
+        const placement_query query{.prompt_tokens = 9000,
+                                    .expected_completion_tokens = 100,
+                                    .cached = it.cached,
+                                    .previous_target = it.previous_target};
+        const auto choice = choose_target(query, targets, now, with(earliest_finish{}));
         REQUIRE(choice);
         CHECK(choice->target == it.chosen);
     }
@@ -72,47 +74,47 @@
 {
     std::vector<target_view> targets{idle_target(), idle_target()};
     targets[0].in_flight_prefill = 9000;
-    CHECK(choose_target({.prompt_tokens = 100}, targets, now, with(expected_finish{}))->target == 1);
+    CHECK(choose_target({.prompt_tokens = 100}, targets, now, with(earliest_finish{}))->target == 1);
 }
 
 TEST_CASE("an old report tells nothing of the queue")
 {
     target_view target = idle_target();
     target.report.queued_prefill = 80000;
-    target.reported = now - 1s;
-    CHECK(expected_queue(target, now, {}) == 9s);
-    target.reported = now - 6s;
-    CHECK(expected_queue(target, now, {}) == 0s);
+    target.report_time = now - 1s;
+    CHECK(expected_queue_delay(target, now, {}) == 9s);
+    target.report_time = now - 6s;
+    CHECK(expected_queue_delay(target, now, {}) == 0s);
 }
 
 TEST_CASE("without reports a home's calls wait only beyond a full batch")
 {
     target_view target = idle_target();
-    target.reported = now - 6s;
+    target.report_time = now - 6s;
     target.in_flight_prefill = 32000;
     target.in_flight = 16;
-    CHECK(expected_queue(target, now, {.batch = 16}) == 0s);
+    CHECK(expected_queue_delay(target, now, {.batch_size = 16}) == 0s);
     target.in_flight = 32;
-    CHECK(expected_queue(target, now, {.batch = 16}) == 2s);
+    CHECK(expected_queue_delay(target, now, {.batch_size = 16}) == 2s);
 }
 
 TEST_CASE("the own failure domain decides between equals")
 {
     const std::vector<target_view> targets{idle_target("a"), idle_target("b"), idle_target("c")};
-    const placement_query query{.prompt_tokens = 100, .own_domain = {"b"}};
-    CHECK(choose_target(query, targets, now, with(expected_finish{}))->target == 1);
+    const placement_query query{.prompt_tokens = 100, .local_domain = {"b"}};
+    CHECK(choose_target(query, targets, now, with(earliest_finish{}))->target == 1);
 }
 
 TEST_CASE("a prefix is moved where that is cheaper than computing it again")
 {
     std::vector<target_view> targets{idle_target(), idle_target()};
     targets[0].report.queued_prefill = 800000;
-    const std::vector<cached_on> cached{{0, 8000}};
-    const placement_query query{.prompt_tokens = 8100, .cached = cached, .last = 0};
-    const auto moved = choose_target(query, targets, now, with(expected_finish{.transfer_rate = 100000}));
-    CHECK(moved->target == 1);
-    CHECK(moved->move_prefix_from == 0);
-    CHECK_FALSE(choose_target(query, targets, now, with(expected_finish{}))->move_prefix_from);
+    const std::vector<cached_prefix> cached{{0, 8000}};
+    const placement_query query{.prompt_tokens = 8100, .cached = cached, .previous_target = 0};
+    const auto choice = choose_target(query, targets, now, with(earliest_finish{.transfer_rate = 100000}));
+    CHECK(choice->target == 1);
+    CHECK(choice->transfer_prefix_from == 0);
+    CHECK_FALSE(choose_target(query, targets, now, with(earliest_finish{}))->transfer_prefix_from);
 }
 
 TEST_CASE("the baselines choose")
@@ -123,14 +125,14 @@
     targets[2].usable = false;
     CHECK(choose_target({.sequence = 1}, targets, now, with(round_robin{}))->target == 1);
     CHECK(choose_target({.sequence = 2}, targets, now, with(round_robin{}))->target == 0);
-    CHECK(choose_target({.last = 0}, targets, now, with(least_load{}))->target == 1);
-    CHECK(choose_target({.last = 0}, targets, now, with(sticky{}))->target == 0);
-    CHECK(choose_target({.last = 2}, targets, now, with(sticky{}))->target == 1);
+    CHECK(choose_target({.previous_target = 0}, targets, now, with(least_load{}))->target == 1);
+    CHECK(choose_target({.previous_target = 0}, targets, now, with(sticky{}))->target == 0);
+    CHECK(choose_target({.previous_target = 2}, targets, now, with(sticky{}))->target == 1);
 }
 
 TEST_CASE("a usable target is found whenever there is one, and none that is not")
 {
-    const bool good = rc::check(
+    const bool passed = rc::check(
         [](const std::vector<bool>& usable, std::uint8_t last, std::uint64_t sequence)
         {
             std::vector<target_view> targets(usable.size(), idle_target());
@@ -140,18 +142,18 @@
                                view.usable = is_usable;
                                return view;
                            });
-            const bool any = std::ranges::find(usable, true) != usable.end();
+            const bool any_usable = std::ranges::find(usable, true) != usable.end();
             const placement_query query{
-                .program = {"p"}, .prompt_tokens = 10, .last = last, .sequence = sequence};
+                .program = {"p"}, .prompt_tokens = 10, .previous_target = last, .sequence = sequence};
             for (const placement_policy& policy :
-                 {placement_policy{expected_finish{.sample = 2}}, placement_policy{round_robin{}},
+                 {placement_policy{earliest_finish{.sample_size = 2}}, placement_policy{round_robin{}},
                   placement_policy{least_load{}}, placement_policy{sticky{}}})
             {
                 const auto choice = choose_target(query, targets, now, with(policy));
-                RC_ASSERT(choice.has_value() == any);
+                RC_ASSERT(choice.has_value() == any_usable);
                 const bool is_usable = !choice || usable.at(choice->target);
                 RC_ASSERT(is_usable);
             }
         });
-    CHECK(good);
+    CHECK(passed);
 }
--- a/tests/unit/test_retry.cpp
+++ b/tests/unit/test_retry.cpp
@@ -21,7 +21,7 @@
     struct row
     {
         unsigned attempt;
-        core_duration longest;
+        core_duration max_delay;
     };
     constexpr std::array table{row{1, 50ms}, row{2, 100ms}, row{4, 400ms}, row{40, 5s}};
     random_source random{7};
@@ -29,16 +29,16 @@
     {
         for (int n = 0; n < 100; ++n)
         {
-            const auto wait = backoff_delay({}, it.attempt, random);
-            CHECK(wait >= it.longest / 2);
-            CHECK(wait <= it.longest);
+            const auto delay = backoff_delay({}, it.attempt, random);
+            CHECK(delay >= it.max_delay / 2);
+            CHECK(delay <= it.max_delay);
         }
     }
 }
 
 TEST_CASE("retries never exceed the budget's ratio")
 {
-    const bool good = rc::check(
+    const bool passed = rc::check(
         [](const std::vector<bool>& steps)
         {
             const retry_budget_options options{.ratio = 0.1, .burst = 3};
@@ -59,13 +59,14 @@
                 RC_ASSERT(retries <= options.burst + options.ratio * requests + 1e-9);
             }
         });
-    CHECK(good);
+    CHECK(passed);
 }
 
 TEST_CASE("the breaker opens, probes and closes")
 {
     core_time now{};
-    circuit_breaker breaker{{.failures = 2, .open_for = 1s, .longest_open = 4s, .probes = 1}};
+    circuit_breaker breaker{
+        {.failure_threshold = 2, .open_duration = 1s, .max_open_duration = 4s, .half_open_probes = 1}};
     const auto fail = [&]
     {
         breaker.on_sent(now);
@@ -92,7 +93,8 @@
 
 TEST_CASE("a probe whose answer never comes does not keep a target out")
 {
-    circuit_breaker breaker{{.failures = 1, .open_for = 1s, .longest_open = 4s, .probes = 1}};
+    circuit_breaker breaker{
+        {.failure_threshold = 1, .open_duration = 1s, .max_open_duration = 4s, .half_open_probes = 1}};
     breaker.on_failure({});
     core_time now = core_time{} + 1s;
     breaker.on_sent(now);
@@ -104,7 +106,7 @@
 TEST_CASE("hedges are for idempotent calls that are late, within their budget")
 {
     hedge_policy hedges{
-        {.quantile = 0.5, .factor = 2, .window = 4, .fewest = 2, .budget = {.ratio = 0, .burst = 1}}};
+        {.quantile = 0.5, .factor = 2, .window = 4, .min_samples = 2, .budget = {.ratio = 0, .burst = 1}}};
     CHECK_FALSE(hedges.delay(true));
     for (const auto latency : {900ms, 1ms, 10ms, 10ms, 10ms, 10ms})
     {
@@ -118,19 +120,19 @@
 
 TEST_CASE("loops end")
 {
-    loop_guard repeats{{.turns = 100, .repeats = 2, .window = 4}};
-    CHECK(repeats.check(1) == problem_id::none);
-    CHECK(repeats.check(1) == problem_id::none);
-    CHECK(repeats.check(1) == problem_id::repeated_call);
+    loop_guard repeat_guard{{.max_turns = 100, .max_repeats = 2, .window = 4}};
+    CHECK(repeat_guard.check(1) == problem_id::none);
+    CHECK(repeat_guard.check(1) == problem_id::none);
+    CHECK(repeat_guard.check(1) == problem_id::repeated_call);
     for (const std::uint64_t other : {2U, 3U, 4U, 5U})
     {
-        CHECK(repeats.check(other) == problem_id::none);
+        CHECK(repeat_guard.check(other) == problem_id::none);
     }
-    CHECK(repeats.check(1) == problem_id::none);
-    loop_guard turns{{.turns = 2}};
-    CHECK(turns.check(1) == problem_id::none);
-    CHECK(turns.check(2) == problem_id::none);
-    CHECK(turns.check(3) == problem_id::turn_limit);
+    CHECK(repeat_guard.check(1) == problem_id::none);
+    loop_guard turn_guard{{.max_turns = 2}};
+    CHECK(turn_guard.check(1) == problem_id::none);
+    CHECK(turn_guard.check(2) == problem_id::none);
+    CHECK(turn_guard.check(3) == problem_id::turn_limit);
 }
 
 TEST_CASE("refusals at the edge")
@@ -140,9 +142,10 @@
         const char* name;
         admission_query query;
         service_backlog backlog;
-        std::optional<core_duration> refused;
+        std::optional<core_duration> retry_after;
     };
-    const overload_options options{.new_limit = 4s, .class_share = 0.5, .running_limit = 20s};
+    const overload_options options{
+        .new_program_limit = 4s, .class_factor = 0.5, .running_program_limit = 20s};
     const std::vector<row> table{
         {"room", {.priority = service_class::assistance, .first_turn = true}, {3s, 2}, {}},
         {"too long for new programs",
@@ -152,7 +155,7 @@
         {"too long for a lower class", {.first_turn = true}, {3s, 2}, 1s},
         {"running programs go on", {}, {6s, 2}, {}},
         {"but not without end", {}, {30s, 2}, 10s},
-        {"can't be in time", {.estimated_cost = 2s, .remaining = 4s}, {3s, 2}, 1s},
+        {"can't be in time", {.estimated_duration = 2s, .time_to_deadline = 4s}, {3s, 2}, 1s},
         {"no target", {}, {0s, 0}, 500ms},
         {"a time to come back that is not too short",
          {.priority = service_class::assistance, .first_turn = true},
@@ -162,6 +165,6 @@
     for (const auto& it : table)
     {
         CAPTURE(it.name);
-        CHECK(refuse_for(it.query, it.backlog, options) == it.refused);
+        CHECK(overload_retry_after(it.query, it.backlog, options) == it.retry_after);
     }
 }
--- a/tests/unit/test_target_queue.cpp
+++ b/tests/unit/test_target_queue.cpp
@@ -16,13 +16,13 @@
 namespace
 {
 
-waiting_call call_named(const std::string& name, const std::string& workspace = "w")
+waiting_call make_call(const std::string& name, const std::string& workspace = "w")
 {
     return {.call = {{name}, {"k"}}, .workspace = {workspace}, .prompt_tokens = 100, .max_tokens = 50};
 }
 
 /// The names of all calls in the order in which they leave.
-std::string drain(target_queue& queue, core_time now = {})
+std::string pop_all(target_queue& queue, core_time now = {})
 {
     std::string names;
     while (const auto call = queue.pop(now))
@@ -63,13 +63,13 @@
     for (const auto& it : table)
     {
         CAPTURE(it.rule);
-        auto a = call_named("a");
-        auto b = call_named("b");
+        auto a = make_call("a");
+        auto b = make_call("b");
         it.change(a, b);
         target_queue queue;
         queue.push(a);
         queue.push(b);
-        CHECK(drain(queue) == it.order);
+        CHECK(pop_all(queue) == it.order);
     }
 }
 
@@ -78,31 +78,31 @@
     target_queue queue;
     for (int n = 0; n < 50; ++n)
     {
-        auto call = call_named("f" + std::to_string(n), "flood");
+        auto call = make_call("f" + std::to_string(n), "flood");
         call.prompt_tokens = 20000;
         queue.push(call);
     }
-    auto late = call_named("late", "quiet");
-    late.arrived = core_time{} + 2s;
-    queue.push(late);
-    std::size_t before = 0;
+    auto late_call = make_call("late", "quiet");
+    late_call.arrived = core_time{} + 2s;
+    queue.push(late_call);
+    std::size_t popped_before = 0;
     while (queue.pop({})->call.program.value != "late")
     {
-        ++before;
+        ++popped_before;
     }
-    CHECK(before < 5);
+    CHECK(popped_before < 5);
 }
 
 TEST_CASE("a call of the same name is taken once")
 {
     target_queue queue;
-    CHECK(queue.push(call_named("a")));
-    CHECK_FALSE(queue.push(call_named("a", "other")));
+    CHECK(queue.push(make_call("a")));
+    CHECK_FALSE(queue.push(make_call("a", "other")));
     CHECK(queue.size() == 1);
     CHECK(queue.queued_prefill() == 100);
     CHECK(queue.queued_decode() == 50);
-    CHECK(queue.remove(call_named("a").call));
-    CHECK_FALSE(queue.remove(call_named("a").call));
+    CHECK(queue.remove(make_call("a").call));
+    CHECK_FALSE(queue.remove(make_call("a").call));
     CHECK(queue.queued_prefill() == 0);
     CHECK_FALSE(queue.pop({}));
 }
@@ -112,7 +112,7 @@
     target_queue queue;
     for (const int seconds : {3, 1, 2})
     {
-        auto call = call_named(std::to_string(seconds));
+        auto call = make_call(std::to_string(seconds));
         call.deadline = core_time{} + std::chrono::seconds{seconds};
         queue.push(call);
     }
@@ -120,54 +120,54 @@
     REQUIRE(expired.size() == 2);
     CHECK(expired[0].call.program.value == "1");
     CHECK(expired[1].call.program.value == "2");
-    CHECK(drain(queue) == "3");
+    CHECK(pop_all(queue) == "3");
 }
 
 TEST_CASE("nothing is lost or given out twice")
 {
-    const bool good = rc::check(
+    const bool passed = rc::check(
         [](const std::vector<std::uint8_t>& steps)
         {
             target_queue queue;
-            std::set<call_ref> inside;
+            std::set<call_ref> queued;
             for (const auto step : steps)
             {
-                auto call = call_named(std::to_string(step % 16), std::to_string(step % 3));
+                auto call = make_call(std::to_string(step % 16), std::to_string(step % 3));
                 call.priority = static_cast<service_class>(step % 3);
                 if (step < 160)
                 {
-                    RC_ASSERT(queue.push(call) == inside.insert(call.call).second);
+                    RC_ASSERT(queue.push(call) == queued.insert(call.call).second);
                 }
                 else if (step < 200)
                 {
-                    RC_ASSERT(queue.remove(call.call) == (inside.erase(call.call) == 1));
+                    RC_ASSERT(queue.remove(call.call) == (queued.erase(call.call) == 1));
                 }
                 else if (const auto popped = queue.pop({}))
                 {
-                    RC_ASSERT(inside.erase(popped->call) == 1U);
+                    RC_ASSERT(queued.erase(popped->call) == 1U);
                 }
-                RC_ASSERT(queue.size() == inside.size());
+                RC_ASSERT(queue.size() == queued.size());
             }
             while (const auto popped = queue.pop({}))
             {
-                RC_ASSERT(inside.erase(popped->call) == 1U);
+                RC_ASSERT(queued.erase(popped->call) == 1U);
             }
-            RC_ASSERT(inside.empty());
+            RC_ASSERT(queued.empty());
             RC_ASSERT(queue.queued_prefill() == 0);
             RC_ASSERT(queue.queued_decode() == 0);
         });
-    CHECK(good);
+    CHECK(passed);
 }
 
 TEST_CASE("nothing starves: no call is passed by one that came later than the longest delay")
 {
-    const bool good = rc::check(
+    const bool passed = rc::check(
         [](const std::vector<std::uint16_t>& arrivals)
         {
             const queue_order order;
             target_queue queue{order};
             core_time now{};
-            std::size_t number = 0;
+            std::size_t next_id = 0;
             const auto check_pop = [&]
             {
                 const auto popped = queue.pop(now);
@@ -178,13 +178,13 @@
                 auto rest = queue;
                 while (const auto other = rest.pop(now))
                 {
-                    RC_ASSERT(popped->arrived <= other->arrived + order.longest_delay());
+                    RC_ASSERT(popped->arrived <= other->arrived + order.max_total_delay());
                 }
             };
             for (const auto it : arrivals)
             {
                 now += std::chrono::milliseconds{it};
-                auto call = call_named(std::to_string(number++), std::to_string(it % 4));
+                auto call = make_call(std::to_string(next_id++), std::to_string(it % 4));
                 call.arrived = now;
                 call.priority = static_cast<service_class>(it % 3);
                 call.attained = token_count{it} * 10;
@@ -200,5 +200,5 @@
                 check_pop();
             }
         });
-    CHECK(good);
+    CHECK(passed);
 }
