--- a/include/masticcourse/policy/cache_retention.hpp
+++ b/include/masticcourse/policy/cache_retention.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which prefixes of paused programs an engine should keep while its memory is short.
+/// Selects the cached prefixes of paused programs that an engine gives up when its KV cache is nearly full.
 #pragma once
 
 #include "masticcourse/core/clock.hpp"
@@ -13,25 +13,25 @@
 namespace masticcourse
 {
 
-/// The cached prefix of a program that runs nothing just now.
+/// The cached prefix of a program that has no call in progress.
 struct paused_prefix
 {
     program_id program;
     token_count tokens = 0;
-    /// How much longer the pause is expected to last.
+    /// Expected remaining duration of the pause.
     core_duration expected_remaining{};
 };
 
-/// The memory of one engine.
+/// KV cache usage of one engine, and the rates that decide between eviction and transfer of a prefix.
 struct engine_cache_state
 {
     token_count capacity = 0;
     token_count used = 0;
-    /// Tokens per second that the engine prefills.
+    /// Prefill rate of the engine in tokens per second.
     double prefill_rate = 0;
-    /// Tokens per second by which a prefix can be moved elsewhere; 0 where it can't.
+    /// Rate of a prefix transfer to another target in tokens per second; 0 if transfers are not possible.
     double transfer_rate = 0;
-    /// Memory free at the target that a prefix could be moved to.
+    /// Free cache capacity at the target that would receive a transferred prefix.
     token_count destination_free_tokens = 0;
 };
 
@@ -50,16 +50,18 @@
 
 struct retention_options
 {
-    /// Memory in use, as a part of all, above which prefixes are given up, and down to which.
+    /// Fractions of the cache capacity: prefixes are given up when usage exceeds the high watermark, until it
+    /// is down to the low watermark.
     double high_watermark = 0.95;
     double low_watermark = 0.85;
-    /// The fixed cost of a move.
+    /// Fixed cost of one transfer.
     core_duration transfer_overhead = std::chrono::milliseconds{20};
 };
 
-/// Decides what to give up. Keeping a prefix costs its memory for the rest of the pause and saves its
-/// prefill: worth per token and second falls with the rest of the pause, so the longest rests go first.
-/// @return the prefixes to drop or to move, first to go first; those not named are kept
+/// Selects the prefixes to evict or transfer. Keeping a prefix occupies its memory for the rest of the pause
+/// and saves one prefill of it. The value of a cached token per second thus falls with the remaining pause,
+/// and prefixes with the longest remaining pause are selected first.
+/// @return the prefixes to evict or transfer, in order of selection; all others are kept
 [[nodiscard]] std::vector<retention_action> plan_retention(std::span<const paused_prefix> paused,
                                                            const engine_cache_state& cache,
                                                            const retention_options& options);
--- a/include/masticcourse/policy/circuit_breaker.hpp
+++ b/include/masticcourse/policy/circuit_breaker.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Keeps calls away from a target that fails, and lets single probes find out when it is back.
+/// Circuit breaker: stops sending calls to a failing target and sends probes to detect its recovery.
 #pragma once
 
 #include "masticcourse/core/clock.hpp"
@@ -19,31 +19,33 @@
 
 struct breaker_options
 {
-    /// Failures in a row that open the breaker.
+    /// Number of consecutive failures that opens the breaker.
     std::uint32_t failure_threshold = 5;
-    /// How long it stays open before probes go through; doubles with each failed probe.
+    /// Time the breaker stays open before it admits probes; doubles with each failed probe, up to
+    /// `max_open_duration`.
     core_duration open_duration = std::chrono::seconds{1};
     core_duration max_open_duration = std::chrono::seconds{30};
-    /// Probes at once while half open; so many successes close it.
+    /// Number of probes sent while half open; the breaker closes when that many have succeeded.
     std::uint32_t half_open_probes = 2;
 };
 
-/// One target's breaker.
+/// The circuit breaker of one target.
 class circuit_breaker
 {
   public:
     circuit_breaker() = default;
     explicit circuit_breaker(const breaker_options& options);
 
-    /// @return whether a call would be let through; changes nothing
+    /// @return whether a call may be sent now; does not change the state
     [[nodiscard]] bool allows(core_time now) const;
 
-    /// A call is sent; while half open it takes a probe.
+    /// Records that a call is sent; while half open, the call counts as a probe.
     void on_sent(core_time now);
 
     void on_success(core_time now);
 
-    /// The target failed a call (error, timeout, lost connection); refusals for load don't count.
+    /// Records that the target failed a call (error, timeout, lost connection). Not to be called for calls
+    /// that the target rejected because of load.
     void on_failure(core_time now);
 
     [[nodiscard]] breaker_state state(core_time now) const;
--- a/include/masticcourse/policy/engine_admission.hpp
+++ b/include/masticcourse/policy/engine_admission.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// How much is handed to the engine at once: what it has taken can't be put behind anything later.
+/// Limits the work submitted to the engine at once: a submitted call can no longer be ordered behind calls
+/// that arrive later.
 #pragma once
 
 #include "masticcourse/core/ids.hpp"
@@ -12,45 +13,47 @@
 namespace masticcourse
 {
 
-/// The limits of one engine.
+/// Limits on the work submitted to one engine.
 struct engine_limits
 {
-    /// Calls in the engine at once.
+    /// Maximum number of concurrent calls.
     std::uint32_t max_running = 16;
-    /// Tokens of prompts and longest answers in the engine at once, so that it need not preempt.
+    /// Maximum sum of prompt tokens and `max_tokens` over the running calls, so that the engine need not
+    /// preempt any of them.
     token_count max_tokens = 400'000;
-    /// Tokens handed over whose prefill has not ended. One call may always prefill, however long.
+    /// Maximum number of submitted tokens whose prefill has not finished. A single call may always prefill,
+    /// whatever its length.
     token_count max_prefill_tokens = 8'000;
 };
 
-/// Keeps count of what the engine has, and says whether the next call fits.
+/// Tracks the calls submitted to the engine and decides whether the next call fits the limits.
 class engine_admission
 {
   public:
     engine_admission() = default;
     explicit engine_admission(const engine_limits& limits);
 
-    /// @return whether @a call may be handed over now; an idle engine takes any call
+    /// @return whether @a call may be submitted now; an idle engine admits any call
     [[nodiscard]] bool admits(const waiting_call& call) const;
 
-    /// The call has been handed over.
+    /// Records that the call has been submitted.
     void on_started(const waiting_call& call);
 
-    /// The call's first token has come: its prefill is over.
+    /// Records the call's first token, which marks the end of its prefill.
     void on_prefilled(const call_ref& call);
 
-    /// The call has ended in any way.
+    /// Records the end of the call, whatever its outcome.
     void on_finished(const call_ref& call);
 
     [[nodiscard]] std::uint32_t running_count() const;
 
-    /// @return whether no slot is free
+    /// @return whether all call slots are in use
     [[nodiscard]] bool full() const;
 
-    /// Tokens handed over and not yet prefilled.
+    /// @return number of tokens submitted and not yet prefilled
     [[nodiscard]] token_count pending_prefill_tokens() const;
 
-    /// Tokens that running calls may still decode, at most.
+    /// @return upper bound on the tokens that the running calls may still decode
     [[nodiscard]] token_count pending_decode_tokens() const;
 
   private:
--- a/include/masticcourse/policy/hedge.hpp
+++ b/include/masticcourse/policy/hedge.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// When an idempotent call is sent a second time, to another target, because the first is late.
+/// Request hedging: an idempotent call with a slow response is sent a second time, to another target.
 #pragma once
 
 #include "masticcourse/core/clock.hpp"
@@ -15,36 +15,37 @@
 
 struct hedge_options
 {
-    /// A call is late when it takes longer than this part of the recent ones did.
+    /// Quantile of the recent latencies from which the hedging delay is computed.
     double quantile = 0.95;
-    /// How much longer than that.
+    /// Factor by which the hedging delay exceeds that quantile.
     double factor = 1.5;
-    /// Recent calls that are remembered, and the fewest from which lateness can be told.
+    /// Number of recent latencies kept, and the minimum number from which a delay is computed.
     std::size_t window = 128;
     std::size_t min_samples = 32;
-    /// Hedges for each call, so that a slow service is not sent twice the work.
+    /// Limits the hedges per call, so that a slow service does not receive twice the load.
     retry_budget_options budget{.ratio = 0.05, .burst = 5};
 };
 
-/// The hedging of one service.
+/// The hedging policy of one service.
 class hedge_policy
 {
   public:
     hedge_policy() = default;
     explicit hedge_policy(const hedge_options& options);
 
-    /// A call is sent for the first time.
+    /// Records the first attempt of a call.
     void record_request();
 
-    /// A call has finished.
+    /// Records the latency of a finished call.
     void record_latency(core_duration latency);
 
-    /// How long after sending a call it should be hedged.
-    /// @param idempotent the call may run twice
-    /// @return nothing if it must not, or nothing is known yet
+    /// Time after which an unfinished call should be hedged.
+    /// @param idempotent whether the call may run twice
+    /// @return no value if the call is not idempotent or too few latencies have been recorded
     [[nodiscard]] std::optional<core_duration> delay(bool idempotent) const;
 
     /// Takes one hedge from the budget.
+    /// @return false if the budget is exhausted
     bool try_hedge();
 
   private:
--- a/include/masticcourse/policy/load_tracker.hpp
+++ b/include/masticcourse/policy/load_tracker.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// A home's own work at one target since that target's last report: what makes a lagging report usable.
+/// Tracks the calls that an entry process has sent to one target since the target's last load report, to
+/// compensate for the lag of the reports.
 #pragma once
 
 #include "masticcourse/core/clock.hpp"
@@ -13,32 +14,31 @@
 namespace masticcourse
 {
 
-/// The tracker of one target.
+/// Tracks the outstanding calls of an entry process at one target.
 class load_tracker
 {
   public:
     load_tracker() = default;
 
-    /// @param lag how old a report is when it arrives; calls sent within that time are not in it
+    /// @param lag age of a report on arrival; it does not include calls sent within that time before
     explicit load_tracker(core_duration lag);
 
-    /// A report has come.
+    /// Records the arrival of a load report.
     void on_report(core_time now);
 
-    /// A call has been sent.
-    /// @param prefill tokens of its prompt that the target has to compute
-    /// @param decode  tokens that its answer is expected to have
+    /// Records a call sent to the target.
+    /// @param prefill prompt tokens that the target has to prefill
+    /// @param decode  expected number of answer tokens
     void on_sent(const call_ref& call, token_count prefill, token_count decode, core_time now);
 
-    /// A call has ended there in any way.
+    /// Records the end of a call, whatever its outcome.
     void on_ended(const call_ref& call);
 
-    /// Writes the own work that @a view's report can't know of into it.
-    /// @param report_lifetime a report older than this counts for nothing: all own calls are taken into
-    /// account
+    /// Updates @a view with the outstanding work that its report does not include.
+    /// @param report_lifetime maximum age of a report; beyond it, all outstanding calls are counted
     void apply_to(target_view& view, core_time now, core_duration report_lifetime) const;
 
-    /// @return own calls under way there
+    /// @return number of outstanding calls at the target
     [[nodiscard]] std::size_t in_flight() const;
 
   private:
@@ -53,7 +53,7 @@
     core_duration m_lag = std::chrono::milliseconds{1};
     core_time m_last_report{};
     std::map<call_ref, sent_call> m_calls;
-    /// The work of calls that the last report can't know of, and of all.
+    /// Work of the calls that the last report does not include, and of all outstanding calls.
     token_count m_unreported_prefill = 0;
     token_count m_unreported_decode = 0;
     token_count m_total_prefill = 0;
--- a/include/masticcourse/policy/loop_guard.hpp
+++ b/include/masticcourse/policy/loop_guard.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Ends programs that loop: a limit on turns, and calls that repeat with the same body.
+/// Detects programs that loop, by limits on the number of turns and on repeated identical requests.
 #pragma once
 
 #include "masticcourse/core/problem.hpp"
@@ -14,19 +14,19 @@
 struct loop_limits
 {
     std::uint32_t max_turns = 400;
-    /// The same request may come so many times among the last @a window ones.
+    /// Maximum number of occurrences of the same request among the last @a window requests.
     std::uint32_t max_repeats = 8;
     std::size_t window = 32;
 };
 
-/// One program's guard.
+/// The loop guard of one program.
 class loop_guard
 {
   public:
     loop_guard() = default;
     explicit loop_guard(const loop_limits& limits);
 
-    /// Looks at the next call of the program, before it runs.
+    /// Checks the next call of the program before it runs.
     /// @param digest `digest_of` the request
     /// @return `problem_id::none`, `turn_limit` or `repeated_call`
     problem_id check(std::uint64_t digest);
--- a/include/masticcourse/policy/overload.hpp
+++ b/include/masticcourse/policy/overload.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Admission at the edge by estimated cost: what can't be finished in time is refused at once, before it
-/// runs.
+/// Admission control at the edge by estimated cost: a call that cannot finish in time is rejected
+/// immediately, before it runs.
 #pragma once
 
 #include "masticcourse/core/clock.hpp"
@@ -14,41 +14,40 @@
 namespace masticcourse
 {
 
-/// The work that waits in front of a service's targets, as the edge estimates it.
+/// The backlog of a service's targets as estimated at the edge.
 struct service_backlog
 {
-    /// The time that all usable targets together need for what waits and runs now.
+    /// Time in which all usable targets together complete the queued and running work.
     core_duration drain_time{};
-    /// Usable targets.
     std::uint32_t usable_targets = 0;
 };
 
 struct admission_query
 {
-    /// The time that one target would need for the call by itself.
+    /// Time that one target would need for the call alone.
     core_duration estimated_duration{};
     service_class priority = service_class::standard;
-    /// The program has run nothing yet.
+    /// Whether the program has not run any call yet.
     bool first_turn = false;
-    /// Time left.
+    /// No value if the call has no deadline.
     std::optional<core_duration> time_to_deadline;
 };
 
 struct overload_options
 {
-    /// The longest backlog under which new programs of the first class are taken in.
+    /// Maximum drain time at which new programs of the highest class are admitted.
     core_duration new_program_limit = std::chrono::milliseconds{600};
-    /// The part of that limit that each class below the first has, of the one above.
+    /// Limit of each lower class as a fraction of the limit of the class above it.
     double class_factor = 0.7;
-    /// The longest backlog under which running programs go on.
+    /// Maximum drain time at which calls of running programs are admitted.
     core_duration running_program_limit = std::chrono::seconds{60};
-    /// The shortest and longest time to come back that is named.
+    /// Bounds of the retry delay that a rejection states.
     core_duration min_retry_after = std::chrono::milliseconds{500};
     core_duration max_retry_after = std::chrono::minutes{2};
 };
 
-/// Decides on one call.
-/// @return nothing if it is admitted, else when to come back; a refused call has not run
+/// Decides whether a call is admitted.
+/// @return no value if the call is admitted, else the delay before a retry; a rejected call has not run
 [[nodiscard]] std::optional<core_duration> overload_retry_after(const admission_query& query,
                                                                 const service_backlog& backlog,
                                                                 const overload_options& options);
--- a/include/masticcourse/policy/pause_estimator.hpp
+++ b/include/masticcourse/policy/pause_estimator.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How long a program pauses between two model calls, learnt for each tool as the system runs.
+/// Estimates the pauses of programs between two model calls from the pauses observed for each tool.
 #pragma once
 
 #include "masticcourse/core/clock.hpp"
@@ -10,7 +10,7 @@
 namespace masticcourse
 {
 
-/// Histograms of pauses, one for each tool, and one over all for tools that are not known yet.
+/// Keeps a histogram of pauses for each tool, and one over all tools for those with too few samples.
 class pause_estimator
 {
   public:
@@ -21,12 +21,13 @@
     pause_estimator(const pause_estimator&) = delete;
     pause_estimator& operator=(const pause_estimator&) = delete;
 
-    /// A pause has ended.
+    /// Records the length of a finished pause.
     void record(const service_name& tool, core_duration pause);
 
-    /// How much longer a pause will last.
-    /// @param elapsed how long it has lasted already
-    /// @return the mean of what is left of longer pauses; @a elapsed itself if none was ever longer
+    /// Estimates the remaining duration of a pause.
+    /// @param elapsed time since the pause began
+    /// @return the mean remaining time of the recorded pauses longer than @a elapsed; @a elapsed itself if no
+    /// recorded pause was longer
     [[nodiscard]] core_duration expected_remaining(const service_name& tool, core_duration elapsed) const;
 
   private:
--- a/include/masticcourse/policy/placement.hpp
+++ b/include/masticcourse/policy/placement.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Where a program's home sends a call: pure decisions over lagging reports, in virtual time.
+/// Chooses the target of a call in the entry process that owns the program. The decisions are pure functions
+/// of lagging load reports and a given time, so they also run in virtual time.
 #pragma once
 
 #include "masticcourse/core/clock.hpp"
@@ -16,24 +17,26 @@
 namespace masticcourse
 {
 
-/// One target as a home sees it: its last report, and the home's own work that the report can't know of.
+/// An entry process's view of one target: the last load report, and the work that the process itself has sent
+/// there and the report does not include.
 struct target_view
 {
     process_name name;
     failure_domain_name failure_domain;
     target_load report;
-    /// When @a report arrived.
+    /// Arrival time of @a report.
     core_time report_time{};
-    /// Own work sent since the report less own work known to be finished since; may be negative.
+    /// Work that this process has sent since the report, minus its work known to have finished since; may be
+    /// negative.
     token_count in_flight_prefill = 0;
     token_count in_flight_decode = 0;
-    /// Own calls at this target.
+    /// Outstanding calls of this process at the target.
     std::uint32_t in_flight = 0;
-    /// Connected, not leaving, and its breaker lets calls through.
+    /// Whether the target is connected, is not leaving and is allowed by its circuit breaker.
     bool usable = true;
 };
 
-/// A prefix of the program that a target's engine is believed to hold.
+/// A prefix of the program that a target's engine is assumed to have cached.
 struct cached_prefix
 {
     /// Index of the target in the span of views.
@@ -41,7 +44,7 @@
     token_count tokens = 0;
 };
 
-/// What is to be placed.
+/// The call to place.
 struct placement_query
 {
     program_id program;
@@ -49,50 +52,51 @@
     token_count expected_completion_tokens = 0;
     std::span<const cached_prefix> cached;
     failure_domain_name local_domain;
-    /// Where the program's previous call went.
+    /// Index of the target of the program's previous call.
     std::optional<std::size_t> previous_target;
-    /// A number that differs from one call to the next; only `round_robin` and sampling use it.
+    /// A number that differs between successive calls; used only by `round_robin` and for sampling.
     std::uint64_t sequence = 0;
 };
 
-/// Where the call goes.
+/// The result of a placement.
 struct placement_choice
 {
     std::size_t target = 0;
-    /// The time until the call's last token, as estimated; zero for policies that estimate nothing.
+    /// Estimated time until the call's last token; zero for policies that do not estimate it.
     core_duration estimated_duration{};
-    /// The target whose KV cache is to be exported and imported at @a target first.
+    /// The target whose KV cache is to be exported, and imported at @a target, before the call is sent.
     std::optional<std::size_t> transfer_prefix_from;
 };
 
 /// @name Policies
 /// @{
 
-/// Least sum of queue, prefill of what is not cached, and decode; see docs/design/policy.md.
+/// Minimizes the sum of queueing delay, prefill of the uncached tokens, and decode; see
+/// docs/design/policy.md.
 struct earliest_finish
 {
-    /// The weight of prefill that a cold target computes again: it delays others too, so more than its own
-    /// time.
+    /// Weight of the prefill that a target without the cached prefix repeats. Greater than 1, as this prefill
+    /// also delays other calls.
     double recompute_weight = 20.0;
-    /// Tokens per second by KV export and import; 0 where engines can't move a prefix.
+    /// Rate of KV export and import in tokens per second; 0 if the engines cannot transfer a prefix.
     double transfer_rate = 0;
-    /// The fixed cost of one move.
+    /// Fixed cost of one transfer.
     core_duration transfer_overhead = std::chrono::milliseconds{20};
-    /// Targets looked at besides those that hold a prefix; 0 looks at all.
+    /// Number of targets considered besides those that hold a prefix; 0 considers all.
     std::size_t sample_size = 16;
 };
 
-/// Each usable target in turn.
+/// Cycles through the usable targets.
 struct round_robin
 {
 };
 
-/// Least queued and running calls by the last report alone.
+/// The target with the fewest queued and running calls, by the last report alone.
 struct least_load
 {
 };
 
-/// The last target as long as it is usable, else the least loaded.
+/// The previous target while it is usable, else the least loaded one.
 struct sticky
 {
 };
@@ -100,28 +104,27 @@
 using placement_policy = std::variant<earliest_finish, round_robin, least_load, sticky>;
 /// @}
 
-/// How calls are placed.
 struct placement_options
 {
     placement_policy policy;
-    /// Speeds of a target that has not reported any, tokens per second.
+    /// Rates assumed for a target that has not reported any, in tokens per second.
     double default_prefill_rate = 8000;
     double default_decode_rate = 700;
-    /// Sequences of an engine's full batch, which share its decode rate.
+    /// Number of sequences in an engine's full batch; they share its decode rate.
     double batch_size = 16;
-    /// How much each running sequence lengthens the steps of the others, as a part of a step.
+    /// Fraction by which each running sequence lengthens the decode steps of the others.
     double batch_slowdown = 0.02;
-    /// A report older than this tells nothing about the queue.
+    /// Maximum age of a report that is used to estimate the queue.
     core_duration report_lifetime = std::chrono::seconds{5};
 };
 
 /// Chooses the target of one call.
-/// @return the choice, or nothing if no target is usable
+/// @return no value if no target is usable
 [[nodiscard]] std::optional<placement_choice> choose_target(const placement_query& query,
                                                             std::span<const target_view> targets,
                                                             core_time now, const placement_options& options);
 
-/// How long a new call would wait at @a target before its own prefill begins, as estimated.
+/// Estimates how long a new call would wait at @a target before its own prefill begins.
 [[nodiscard]] core_duration expected_queue_delay(const target_view& target, core_time now,
                                                  const placement_options& options);
 
--- a/include/masticcourse/policy/rate_meter.hpp
+++ b/include/masticcourse/policy/rate_meter.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How fast a target's engine is, as its target process sees it, and what it reports of its load.
+/// Measures the speed of a target's engine in the target process, and builds the target's load report.
 #pragma once
 
 #include "masticcourse/core/clock.hpp"
@@ -12,39 +12,39 @@
 namespace masticcourse
 {
 
-/// What is believed of an engine before it has been measured.
+/// Speed of an engine; the defaults apply until it has been measured.
 struct engine_speed
 {
-    /// Tokens per second of one prefill.
+    /// Rate of a single prefill in tokens per second.
     double prefill_rate = 8'000;
-    /// Tokens per second of a full batch.
+    /// Total rate of a full batch in tokens per second.
     double decode_rate = 700;
 };
 
-/// Measures the speed of one engine by the calls that it finishes.
+/// Measures the speed of one engine from the calls that it finishes.
 class rate_meter
 {
   public:
     rate_meter() = default;
 
-    /// @param initial_speed what is believed at first
-    /// @param slots   sequences of a full batch
+    /// @param initial_speed speed assumed before the first measurement
+    /// @param slots         number of sequences in a full batch
     rate_meter(const engine_speed& initial_speed, std::uint32_t slots);
 
-    /// A call's first token came.
-    /// @param tokens tokens computed for it
-    /// @param elapsed   the time since it, or the prefill before it, could begin
+    /// Records the first token of a call.
+    /// @param tokens  number of prefilled tokens
+    /// @param elapsed time since the call started or the preceding prefill ended, whichever came later
     void on_prefill(token_count tokens, core_duration elapsed);
 
-    /// A call has ended.
-    /// @param tokens     tokens of the answer after the first
-    /// @param elapsed       the time from the first token to the last
-    /// @param max_tokens what the caller allowed
+    /// Records the end of a call.
+    /// @param tokens     number of answer tokens after the first
+    /// @param elapsed    time from the first token to the last
+    /// @param max_tokens maximum answer length that the caller allowed
     void on_decode(token_count tokens, core_duration elapsed, token_count max_tokens);
 
     [[nodiscard]] engine_speed speed() const;
 
-    /// @return the part of the allowed answer length that answers use, on average
+    /// @return average ratio of the length of an answer to its maximum length
     [[nodiscard]] double answer_length_ratio() const;
 
   private:
@@ -53,7 +53,7 @@
     double m_answer_length_ratio = 0.5;
 };
 
-/// The report of a target's load: the work in front of a new call.
+/// Builds the load report of a target: the work ahead of a new call.
 [[nodiscard]] target_load make_load_report(const target_queue& queue, const engine_admission& engine,
                                            const rate_meter& meter);
 
--- a/include/masticcourse/policy/retry.hpp
+++ b/include/masticcourse/policy/retry.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Retries that can't make an overload worse: backoff with jitter, and a budget that is a ratio of requests.
+/// Retries that do not aggravate an overload: exponential backoff with jitter, and a retry budget
+/// proportional to the number of requests.
 #pragma once
 
 #include "masticcourse/core/clock.hpp"
@@ -10,10 +11,10 @@
 namespace masticcourse
 {
 
-/// The random numbers of the control cores; seeded from outside, so that tests repeat.
+/// Random number generator of the control cores; seeded from outside, so that tests are reproducible.
 using random_source = std::mt19937_64;
 
-/// How the waits between attempts grow.
+/// Exponential backoff between attempts.
 struct backoff_options
 {
     core_duration initial_delay = std::chrono::milliseconds{50};
@@ -21,17 +22,17 @@
     double factor = 2.0;
 };
 
-/// The wait before a retry, uniform between half of the grown wait and all of it.
-/// @param attempt how many attempts have failed, from 1
+/// Delay before a retry, uniformly distributed between half of the backoff delay and all of it.
+/// @param attempt number of failed attempts, at least 1
 [[nodiscard]] core_duration backoff_delay(const backoff_options& options, unsigned attempt,
                                           random_source& random);
 
-/// How many retries a home may make.
+/// Limits on the retries of an entry process.
 struct retry_budget_options
 {
-    /// Retries for each first attempt.
+    /// Retries granted per first attempt.
     double ratio = 0.1;
-    /// Retries that may be saved up, and that a new process starts with.
+    /// Maximum number of unused retries; also the number that a new process starts with.
     double burst = 10;
 };
 
@@ -42,11 +43,11 @@
     retry_budget() = default;
     explicit retry_budget(const retry_budget_options& options);
 
-    /// A first attempt was made.
+    /// Records the first attempt of a request.
     void record_request();
 
     /// Takes one retry from the budget.
-    /// @return false if there is none left: the failure is final
+    /// @return false if the budget is exhausted; the failure is then final
     bool try_retry();
 
   private:
--- a/include/masticcourse/policy/target_queue.hpp
+++ b/include/masticcourse/policy/target_queue.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The queue in front of one target, across programs: the engine knows no priorities, so order is made here.
+/// The queue of one target, shared by all programs. The engine does not support priorities, so calls are
+/// ordered here.
 #pragma once
 
 #include "masticcourse/core/clock.hpp"
@@ -19,45 +20,45 @@
 namespace masticcourse
 {
 
-/// A call that waits for its turn at the engine.
+/// A call waiting to be submitted to the engine.
 struct waiting_call
 {
     call_ref call;
     workspace_id workspace;
     service_class priority = service_class::standard;
-    /// Tokens that the program has received so far.
+    /// Tokens that the program has been served so far (its attained service).
     token_count attained = 0;
     token_count prompt_tokens = 0;
-    /// The part of the prompt that the engine is believed to hold.
+    /// Prompt tokens that the engine is assumed to have cached.
     token_count expected_cached = 0;
     token_count max_tokens = 0;
     core_time arrived{};
     std::optional<core_time> deadline;
-    /// The program has run nothing yet.
+    /// Whether the program has not run any call yet.
     bool first_turn = false;
     program_id parent;
 };
 
-/// The order of the queue. Every rule is a bounded delay on the arrival time, so nothing starves.
+/// Ordering rules of the queue. Each rule adds a bounded delay to the arrival time, so no call starves.
 struct queue_order
 {
-    /// How long a class waits behind the one above it.
+    /// Delay of each class relative to the class above it.
     core_duration class_delay = std::chrono::seconds{20};
-    /// How long a call waits for each thousand tokens that its program has received.
+    /// Delay of a call per thousand tokens of attained service of its program.
     core_duration attained_delay = std::chrono::milliseconds{100};
-    /// The most that attained service counts for.
+    /// Maximum delay due to attained service.
     core_duration max_attained_delay = std::chrono::seconds{5};
-    /// How long a workspace waits for each thousand tokens that it has had more than the least served one.
+    /// Delay of a workspace per thousand tokens served to it in excess of the least served workspace.
     core_duration workspace_delay = std::chrono::milliseconds{200};
     core_duration max_workspace_delay = std::chrono::seconds{10};
-    /// A call with a deadline is due this long before it.
+    /// A call with a deadline is due at the latest this long before the deadline.
     core_duration deadline_margin = std::chrono::seconds{5};
 
-    /// @return the longest that all rules together can put a call behind a later one
+    /// @return the maximum time by which all rules together can delay a call behind one that arrived later
     [[nodiscard]] core_duration max_total_delay() const;
 };
 
-/// Waiting calls, next one first.
+/// The waiting calls in the order in which they are to run.
 class target_queue
 {
   public:
@@ -65,32 +66,32 @@
     explicit target_queue(const queue_order& order);
 
     /// Adds a call.
-    /// @return false if a call of that name waits already; the queue is unchanged then
+    /// @return false if a call with the same reference is already queued; the queue is then unchanged
     bool push(waiting_call call);
 
-    /// Takes the call that is to run next.
+    /// Removes and returns the call that is to run next.
     std::optional<waiting_call> pop(core_time now);
 
-    /// @return the call that `pop` would take, until the queue changes; nothing if it is empty
+    /// @return the call that `pop` would return, valid until the queue changes; null if the queue is empty
     [[nodiscard]] const waiting_call* peek(core_time now) const;
 
-    /// Removes a call that was cancelled.
-    /// @return whether it was waiting
+    /// Removes a cancelled call.
+    /// @return whether the call was queued
     bool remove(const call_ref& call);
 
-    /// Takes all calls whose deadlines have passed, in order of deadline.
+    /// Removes and returns all calls whose deadlines have passed, in order of deadline.
     std::vector<waiting_call> expire(core_time now);
 
     [[nodiscard]] std::size_t size() const;
 
-    /// Tokens to prefill in all waiting calls, without those believed cached.
+    /// @return tokens to prefill for all queued calls, without those assumed to be cached
     [[nodiscard]] token_count queued_prefill() const;
 
-    /// Tokens to decode in all waiting calls, at most.
+    /// @return upper bound on the tokens to decode for all queued calls
     [[nodiscard]] token_count queued_decode() const;
 
   private:
-    /// A call's place among those of its workspace.
+    /// Sort key of a call among the calls of its workspace.
     struct position
     {
         core_time due;
@@ -107,7 +108,8 @@
     struct workspace_queue
     {
         std::map<position, call_ref> waiting;
-        /// Tokens served, raised to the least of the waiting workspaces when it comes back from idleness.
+        /// Tokens served; raised to `m_served_floor` when an idle workspace queues a call, so that being idle
+        /// earns no priority.
         token_count served_tokens = 0;
     };
 
@@ -122,7 +124,7 @@
     std::map<call_ref, entry> m_calls;
     std::map<workspace_id, workspace_queue> m_workspaces;
     std::set<std::pair<core_time, call_ref>> m_deadlines;
-    /// What the last served workspace had had before; where one that was idle begins.
+    /// Highest `least_served` seen by `pop`; the minimum `served_tokens` of a workspace that was idle.
     token_count m_served_floor = 0;
     std::uint64_t m_next_sequence = 0;
     token_count m_queued_prefill = 0;
--- a/src/policy/circuit_breaker.cpp
+++ b/src/policy/circuit_breaker.cpp
@@ -18,7 +18,7 @@
     case breaker_state::half_open:
         break;
     }
-    // A probe whose answer never comes must not keep the target out for ever.
+    // A probe that is never answered must not exclude the target forever.
     const bool probes_timed_out = now >= m_half_open_at + m_options.max_open_duration;
     return m_state == breaker_state::open || m_probes_sent < m_options.half_open_probes || probes_timed_out;
 }
--- a/src/policy/pause_estimator.cpp
+++ b/src/policy/pause_estimator.cpp
@@ -20,11 +20,11 @@
 constexpr unsigned bin_count = 48;
 constexpr double min_pause_seconds = 0.001;
 constexpr double max_pause_seconds = 7200;
-/// Pauses of a tool before its own histogram is trusted.
+/// Minimum number of samples before a tool's own histogram is used.
 constexpr double min_tool_samples = 20;
-/// A histogram's old pauses lose half of their weight each time that it has counted so many.
+/// Number of samples after which the weights of a histogram are halved, so that old pauses decay.
 constexpr double samples_per_halving = 4096;
-/// Beyond so many tools, new ones share the histogram over all.
+/// Maximum number of tools with their own histogram; further tools share the one over all tools.
 constexpr std::size_t max_tools = 256;
 
 pause_histogram make_pause_histogram()
@@ -49,7 +49,7 @@
     }
 };
 
-/// The mean of what is left, over all bins that reach past @a elapsed.
+/// Weighted mean of the remaining time over all bins with a center beyond @a elapsed.
 double mean_remaining(const pause_histogram& pauses, double elapsed)
 {
     double weight = 0;
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -14,12 +14,12 @@
 
 using seconds = std::chrono::duration<double>;
 
-/// The estimate for one candidate.
+/// Estimate for one candidate target.
 struct estimate
 {
     std::size_t target = 0;
     core_duration finish_time{};
-    /// What is compared: the finish with the weights of the policy.
+    /// The value compared between candidates: the finish time with the weights of the policy applied.
     core_duration cost{};
     std::optional<std::size_t> transfer_from;
 };
@@ -49,7 +49,7 @@
     return static_cast<token_count>(static_cast<double>(tokens) * fraction);
 }
 
-/// The part of a home's own calls at a target that finds no place in its batch.
+/// Fraction of this process's calls at a target that do not fit in its batch.
 double queued_fraction(const target_view& target, const placement_options& options)
 {
     const auto calls = static_cast<double>(target.in_flight);
@@ -62,7 +62,8 @@
     return it == query.cached.end() ? 0 : std::min(it->tokens, query.prompt_tokens);
 }
 
-/// The longest prefix held by a target that can still export it.
+/// The longest cached prefix held by one of @a targets. Whether that target can still export it is checked
+/// by `consider_transfer`.
 cached_prefix longest_prefix(const placement_query& query, std::span<const target_view> targets)
 {
     cached_prefix best{.target = targets.size()};
@@ -76,7 +77,7 @@
     return best;
 }
 
-/// Chooses by expected finish.
+/// Selects a target by the `earliest_finish` policy.
 class earliest_finish_selector
 {
   public:
@@ -97,7 +98,7 @@
         consider_sample();
         if (!m_best)
         {
-            // None of the sample can be used: look at all before giving up.
+            // No target of the sample is usable: consider all of them.
             consider_range(0, m_targets.size());
         }
         if (!m_best)
@@ -159,7 +160,7 @@
         return result;
     }
 
-    /// The time of the answer in the batch that it joins.
+    /// Decode time of the answer in the batch that it joins.
     [[nodiscard]] core_duration decode_time(const target_view& target) const
     {
         const std::uint32_t concurrent_calls = std::max(target.report.running, target.in_flight);
@@ -168,7 +169,7 @@
                                 (1 + m_options.batch_slowdown * concurrent_calls));
     }
 
-    /// Replaces computing the longest prefix again by moving it, where that is cheaper.
+    /// Replaces recomputing the longest prefix by transferring it, where that is cheaper.
     void consider_transfer(estimate& candidate, core_duration recompute_time) const
     {
         if (m_policy.transfer_rate <= 0 || m_longest_prefix.target == candidate.target ||
@@ -183,7 +184,7 @@
             return;
         }
         candidate.finish_time += transfer_time - recompute_time;
-        // A move takes time from two engines and leaves a copy behind.
+        // A transfer takes time on two engines and leaves a copy at the source, hence the weight.
         candidate.cost = candidate.finish_time +
                          to_core_duration(seconds{transfer_time} * (m_policy.recompute_weight - 1));
         candidate.transfer_from = m_longest_prefix.target;
@@ -261,7 +262,8 @@
 {
     const core_duration age = now - target.report_time;
     const bool fresh = age <= options.report_lifetime;
-    // Without a report only calls beyond a full batch are known to wait; the others may well be running.
+    // Without a fresh report, only calls beyond a full batch are known to be queued; the others may be
+    // running.
     const double queued_share = fresh ? 1 : queued_fraction(target, options);
     const token_count prefill =
         (fresh ? target.report.queued_prefill : 0) + scaled_tokens(target.in_flight_prefill, queued_share);
--- a/src/policy/rate_meter.cpp
+++ b/src/policy/rate_meter.cpp
@@ -10,9 +10,10 @@
 
 using seconds = std::chrono::duration<double>;
 
-/// The weight of one call among the earlier ones.
+/// Weight of a new sample in the exponential moving averages.
 constexpr double sample_weight = 0.1;
-/// A prefill shorter than this says more of the step that it shared than of the engine's speed.
+/// Shorter prefills are ignored: their time reflects the batch step that they shared rather than the speed
+/// of the engine.
 constexpr token_count min_prefill_tokens = 256;
 constexpr token_count min_decode_tokens = 4;
 
--- a/tests/unit/test_cache_retention.cpp
+++ b/tests/unit/test_cache_retention.cpp
@@ -1,4 +1,4 @@
-// Pauses learnt per tool, and which prefixes go when memory is short.
+// Tests of the pause estimator, of cache retention and of the load tracker.
 #include "masticcourse/policy/cache_retention.hpp"
 #include "masticcourse/policy/load_tracker.hpp"
 #include "masticcourse/policy/pause_estimator.hpp"
@@ -25,9 +25,9 @@
     CHECK(estimator.expected_remaining(fast_tool, 0s) < 200ms);
     CHECK(estimator.expected_remaining(slow_tool, 0s) > 40s);
     CHECK(estimator.expected_remaining(slow_tool, 30s) < estimator.expected_remaining(slow_tool, 0s));
-    // One that has lasted longer than any before will last as long again.
+    // A pause that is longer than any recorded one is expected to last as long again.
     CHECK(estimator.expected_remaining(fast_tool, 10min) == core_duration{10min});
-    // A tool that nobody has seen is like all of them together.
+    // A tool without samples uses the histogram over all tools.
     CHECK(estimator.expected_remaining({"new"}, 0s) > 10s);
 }
 
@@ -90,7 +90,7 @@
     tracker.on_report(core_time{} + 250ms);
     CHECK(unreported_prefill_at(core_time{} + 250ms) == 1000);
     CHECK(view.in_flight == 2);
-    // Once reports have stopped, all own work counts.
+    // When the last report has expired, all outstanding work is counted.
     CHECK(unreported_prefill_at(core_time{} + 10s) == 1100);
     tracker.on_ended(second);
     CHECK(unreported_prefill_at(core_time{} + 260ms) == 0);
--- a/tests/unit/test_engine_admission.cpp
+++ b/tests/unit/test_engine_admission.cpp
@@ -1,4 +1,4 @@
-// How much an engine is handed at once.
+// Tests of engine admission, the rate meter and the load report.
 #include "masticcourse/policy/engine_admission.hpp"
 #include "masticcourse/policy/rate_meter.hpp"
 
--- a/tests/unit/test_placement.cpp
+++ b/tests/unit/test_placement.cpp
@@ -1,4 +1,4 @@
-// Where calls go: tables of small fleets, and what must hold for any.
+// Tests of placement: tables of small sets of targets, and a property that must hold for any set.
 #include "masticcourse/policy/placement.hpp"
 
 #include <doctest/doctest.h>
--- a/tests/unit/test_retry.cpp
+++ b/tests/unit/test_retry.cpp
@@ -1,4 +1,4 @@
-// Backoff, the retry budget, hedges, the breaker, loops and refusals at the edge.
+// Tests of backoff, the retry budget, hedging, the circuit breaker, the loop guard and admission at the edge.
 #include "masticcourse/policy/circuit_breaker.hpp"
 #include "masticcourse/policy/hedge.hpp"
 #include "masticcourse/policy/loop_guard.hpp"
--- a/tests/unit/test_target_queue.cpp
+++ b/tests/unit/test_target_queue.cpp
@@ -1,4 +1,4 @@
-// The queue in front of a target: its order, and that it loses, duplicates and starves nothing.
+// Tests of the target queue: its order, and that no call is lost, duplicated or starved.
 #include "masticcourse/policy/target_queue.hpp"
 
 #include <doctest/doctest.h>
@@ -21,7 +21,7 @@
     return {.call = {{name}, {"k"}}, .workspace = {workspace}, .prompt_tokens = 100, .max_tokens = 50};
 }
 
-/// The names of all calls in the order in which they leave.
+/// Pops all calls and returns the concatenated ids of their programs.
 std::string pop_all(target_queue& queue, core_time now = {})
 {
     std::string names;
