--- a/tests/unit/test_cache_retention.cpp
+++ b/tests/unit/test_cache_retention.cpp
@@ -12,7 +12,7 @@
 using namespace masticcourse;
 using namespace std::chrono_literals;
 
-TEST_CASE("pauses are learnt for each tool")
+TEST_CASE("the pause estimator keeps a histogram per tool")
 {
     pause_estimator estimator;
     const service_name fast_tool{"quick"};
@@ -31,7 +31,7 @@
     CHECK(estimator.expected_remaining({"new"}, 0s) > 10s);
 }
 
-TEST_CASE("retention")
+TEST_CASE("cache retention")
 {
     struct row
     {
@@ -41,17 +41,17 @@
     };
     const std::vector<paused_prefix> paused{{{"a"}, 100, 1s}, {{"b"}, 100, 60s}, {{"c"}, 100, 5s}};
     const std::vector<row> table{
-        {"nothing while there is memory", {.capacity = 1000, .used = 900}, ""},
-        {"the longest rest first", {.capacity = 1000, .used = 940}, "-b"},
-        {"as many as it takes", {.capacity = 1000, .used = 1000}, "-b-c"},
-        {"moved where that is cheaper and fits",
+        {"no action below the high watermark", {.capacity = 1000, .used = 900}, ""},
+        {"longest remaining pause first", {.capacity = 1000, .used = 940}, "-b"},
+        {"as many as needed to reach the low watermark", {.capacity = 1000, .used = 1000}, "-b-c"},
+        {"transfer if it is cheaper and fits",
          {.capacity = 1000,
           .used = 1000,
           .prefill_rate = 1,
           .transfer_rate = 100,
           .destination_free_tokens = 150},
          ">b-c"},
-        {"dropped where a move is slower",
+        {"eviction if a transfer is slower",
          {.capacity = 1000,
           .used = 1000,
           .prefill_rate = 100,
@@ -72,7 +72,7 @@
     }
 }
 
-TEST_CASE("the tracker counts own work that a report can't know of")
+TEST_CASE("the load tracker counts work that a report does not include")
 {
     load_tracker tracker{100ms};
     target_view view;
--- a/tests/unit/test_engine_admission.cpp
+++ b/tests/unit/test_engine_admission.cpp
@@ -32,13 +32,13 @@
     };
     constexpr engine_limits limits{.max_running = 2, .max_tokens = 5000, .max_prefill_tokens = 1000};
     const std::vector<row> table{
-        {"an idle engine takes any call", {}, make_call("n", 100000), true},
-        {"a second one that fits", {make_call("a", 400)}, make_call("n", 400), true},
-        {"no slot", {make_call("a", 100), make_call("b", 100)}, make_call("n", 100), false},
-        {"no memory", {make_call("a", 4000, 4000)}, make_call("n", 900, 900), false},
-        {"too much to prefill at once", {make_call("a", 800)}, make_call("n", 800), false},
-        {"what is cached needs no prefill", {make_call("a", 800)}, make_call("n", 800, 700), true},
-        {"one long prefill where nothing else prefills",
+        {"an idle engine admits any call", {}, make_call("n", 100000), true},
+        {"a second call within the limits", {make_call("a", 400)}, make_call("n", 400), true},
+        {"no free slot", {make_call("a", 100), make_call("b", 100)}, make_call("n", 100), false},
+        {"not enough memory", {make_call("a", 4000, 4000)}, make_call("n", 900, 900), false},
+        {"prefill limit exceeded", {make_call("a", 800)}, make_call("n", 800), false},
+        {"cached tokens need no prefill", {make_call("a", 800)}, make_call("n", 800, 700), true},
+        {"one long prefill if no other prefill is in progress",
          {make_call("a", 800, 800)},
          make_call("n", 3000),
          true},
@@ -55,7 +55,7 @@
     }
 }
 
-TEST_CASE("counts go back to nothing, in whatever order calls end")
+TEST_CASE("counts return to zero in whatever order calls end")
 {
     engine_admission admission;
     admission.on_started(make_call("a", 500));
@@ -72,7 +72,7 @@
     CHECK(admission.running_count() == 0);
 }
 
-TEST_CASE("the meter follows an engine that slows down")
+TEST_CASE("the rate meter follows an engine that slows down")
 {
     rate_meter meter{{.prefill_rate = 8000, .decode_rate = 700}, 16};
     for (int n = 0; n < 100; ++n)
@@ -85,7 +85,7 @@
     CHECK(meter.answer_length_ratio() == doctest::Approx(0.5).epsilon(0.02));
 }
 
-TEST_CASE("a report tells the work in front of a new call")
+TEST_CASE("a load report states the work ahead of a new call")
 {
     target_queue queue;
     queue.push(make_call("q", 300, 100));
--- a/tests/unit/test_placement.cpp
+++ b/tests/unit/test_placement.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST_CASE("expected finish chooses")
+TEST_CASE("target chosen by earliest finish")
 {
     struct row
     {
@@ -42,14 +42,14 @@
     };
     const std::vector<row> table{
         {"the shortest queue", {8000, 0, 16000}, {}, {}, 1},
-        {"the prefix over an idle target", {4000, 0, 0}, {{0, 8000}}, 0, 0},
+        {"a cached prefix over an idle target", {4000, 0, 0}, {{0, 8000}}, 0, 0},
         {"the longer of two prefixes", {0, 0, 0}, {{1, 2000}, {2, 8000}}, 1, 2},
-        {"an idle target over a prefix behind a queue that costs more than the prefix",
+        {"an idle target over a cached prefix behind a queue that costs more than the prefill",
          {400000, 0, 0},
          {{0, 4000}},
          0,
          1},
-        {"to stay where all is equal", {0, 0, 0}, {}, 2, 2},
+        {"the previous target if all are equal", {0, 0, 0}, {}, 2, 2},
     };
     for (const auto& it : table)
     {
@@ -70,14 +70,14 @@
     }
 }
 
-TEST_CASE("own work since the report counts")
+TEST_CASE("own work sent since the report counts")
 {
     std::vector<target_view> targets{idle_target(), idle_target()};
     targets[0].in_flight_prefill = 9000;
     CHECK(choose_target({.prompt_tokens = 100}, targets, now, with(earliest_finish{}))->target == 1);
 }
 
-TEST_CASE("an old report tells nothing of the queue")
+TEST_CASE("an expired report is ignored")
 {
     target_view target = idle_target();
     target.report.queued_prefill = 80000;
@@ -87,7 +87,7 @@
     CHECK(expected_queue_delay(target, now, {}) == 0s);
 }
 
-TEST_CASE("without reports a home's calls wait only beyond a full batch")
+TEST_CASE("without a fresh report only calls beyond a full batch count as queued")
 {
     target_view target = idle_target();
     target.report_time = now - 6s;
@@ -98,14 +98,14 @@
     CHECK(expected_queue_delay(target, now, {.batch_size = 16}) == 2s);
 }
 
-TEST_CASE("the own failure domain decides between equals")
+TEST_CASE("the local failure domain breaks ties")
 {
     const std::vector<target_view> targets{idle_target("a"), idle_target("b"), idle_target("c")};
     const placement_query query{.prompt_tokens = 100, .local_domain = {"b"}};
     CHECK(choose_target(query, targets, now, with(earliest_finish{}))->target == 1);
 }
 
-TEST_CASE("a prefix is moved where that is cheaper than computing it again")
+TEST_CASE("a prefix is transferred if that is cheaper than recomputing it")
 {
     std::vector<target_view> targets{idle_target(), idle_target()};
     targets[0].report.queued_prefill = 800000;
@@ -117,7 +117,7 @@
     CHECK_FALSE(choose_target(query, targets, now, with(earliest_finish{}))->transfer_prefix_from);
 }
 
-TEST_CASE("the baselines choose")
+TEST_CASE("targets chosen by the baseline policies")
 {
     std::vector<target_view> targets{idle_target(), idle_target(), idle_target()};
     targets[0].report.queued = 3;
@@ -130,7 +130,7 @@
     CHECK(choose_target({.previous_target = 2}, targets, now, with(sticky{}))->target == 1);
 }
 
-TEST_CASE("a usable target is found whenever there is one, and none that is not")
+TEST_CASE("a usable target is chosen whenever there is one, and never an unusable one")
 {
     const bool passed = rc::check(
         [](const std::vector<bool>& usable, std::uint8_t last, std::uint64_t sequence)
--- a/tests/unit/test_retry.cpp
+++ b/tests/unit/test_retry.cpp
@@ -16,7 +16,7 @@
 using namespace masticcourse;
 using namespace std::chrono_literals;
 
-TEST_CASE("backoff grows, is jittered, and ends at its longest")
+TEST_CASE("backoff grows with jitter up to its maximum")
 {
     struct row
     {
@@ -36,7 +36,7 @@
     }
 }
 
-TEST_CASE("retries never exceed the budget's ratio")
+TEST_CASE("retries never exceed the budget")
 {
     const bool passed = rc::check(
         [](const std::vector<bool>& steps)
@@ -62,7 +62,7 @@
     CHECK(passed);
 }
 
-TEST_CASE("the breaker opens, probes and closes")
+TEST_CASE("the circuit breaker opens, probes and closes")
 {
     core_time now{};
     circuit_breaker breaker{
@@ -91,7 +91,7 @@
     CHECK(breaker.allows(now));
 }
 
-TEST_CASE("a probe whose answer never comes does not keep a target out")
+TEST_CASE("an unanswered probe does not exclude a target forever")
 {
     circuit_breaker breaker{
         {.failure_threshold = 1, .open_duration = 1s, .max_open_duration = 4s, .half_open_probes = 1}};
@@ -103,7 +103,7 @@
     CHECK(breaker.allows(now));
 }
 
-TEST_CASE("hedges are for idempotent calls that are late, within their budget")
+TEST_CASE("only slow idempotent calls are hedged, within the budget")
 {
     hedge_policy hedges{
         {.quantile = 0.5, .factor = 2, .window = 4, .min_samples = 2, .budget = {.ratio = 0, .burst = 1}}};
@@ -118,7 +118,7 @@
     CHECK_FALSE(hedges.try_hedge());
 }
 
-TEST_CASE("loops end")
+TEST_CASE("the loop guard limits turns and repeated requests")
 {
     loop_guard repeat_guard{{.max_turns = 100, .max_repeats = 2, .window = 4}};
     CHECK(repeat_guard.check(1) == problem_id::none);
@@ -135,7 +135,7 @@
     CHECK(turn_guard.check(3) == problem_id::turn_limit);
 }
 
-TEST_CASE("refusals at the edge")
+TEST_CASE("overload admission")
 {
     struct row
     {
@@ -147,17 +147,20 @@
     const overload_options options{
         .new_program_limit = 4s, .class_factor = 0.5, .running_program_limit = 20s};
     const std::vector<row> table{
-        {"room", {.priority = service_class::assistance, .first_turn = true}, {3s, 2}, {}},
-        {"too long for new programs",
+        {"below the limit", {.priority = service_class::assistance, .first_turn = true}, {3s, 2}, {}},
+        {"backlog too long for new programs",
          {.priority = service_class::assistance, .first_turn = true},
          {6s, 2},
          2s},
-        {"too long for a lower class", {.first_turn = true}, {3s, 2}, 1s},
-        {"running programs go on", {}, {6s, 2}, {}},
-        {"but not without end", {}, {30s, 2}, 10s},
-        {"can't be in time", {.estimated_duration = 2s, .time_to_deadline = 4s}, {3s, 2}, 1s},
-        {"no target", {}, {0s, 0}, 500ms},
-        {"a time to come back that is not too short",
+        {"backlog too long for a lower class", {.first_turn = true}, {3s, 2}, 1s},
+        {"calls of running programs are admitted", {}, {6s, 2}, {}},
+        {"backlog too long for running programs", {}, {30s, 2}, 10s},
+        {"cannot finish before the deadline",
+         {.estimated_duration = 2s, .time_to_deadline = 4s},
+         {3s, 2},
+         1s},
+        {"no usable target", {}, {0s, 0}, 500ms},
+        {"minimum retry delay",
          {.priority = service_class::assistance, .first_turn = true},
          {4001ms, 2},
          500ms},
--- a/tests/unit/test_target_queue.cpp
+++ b/tests/unit/test_target_queue.cpp
@@ -44,15 +44,15 @@
     };
     const std::vector<row> table{
         {"first come, first served", [](auto&, auto&) {}, "ab"},
-        {"assistance first",
+        {"higher class first",
          [](auto& a, auto& b)
          {
              b.priority = service_class::assistance;
              a.priority = service_class::background;
          },
          "ba"},
-        {"the one that is due", [](auto&, auto& b) { b.deadline = core_time{} + 1s; }, "ba"},
-        {"no class waits for ever",
+        {"near deadline first", [](auto&, auto& b) { b.deadline = core_time{} + 1s; }, "ba"},
+        {"bounded delay of a lower class",
          [](auto& a, auto& b)
          {
              a.priority = service_class::background;
@@ -73,7 +73,7 @@
     }
 }
 
-TEST_CASE("a workspace that floods the queue does not hold up another")
+TEST_CASE("a workspace that floods the queue does not delay another one")
 {
     target_queue queue;
     for (int n = 0; n < 50; ++n)
@@ -93,7 +93,7 @@
     CHECK(popped_before < 5);
 }
 
-TEST_CASE("a call of the same name is taken once")
+TEST_CASE("a call with the same reference is queued once")
 {
     target_queue queue;
     CHECK(queue.push(make_call("a")));
@@ -123,7 +123,7 @@
     CHECK(pop_all(queue) == "3");
 }
 
-TEST_CASE("nothing is lost or given out twice")
+TEST_CASE("no call is lost or returned twice")
 {
     const bool passed = rc::check(
         [](const std::vector<std::uint8_t>& steps)
@@ -159,7 +159,7 @@
     CHECK(passed);
 }
 
-TEST_CASE("nothing starves: no call is passed by one that came later than the longest delay")
+TEST_CASE("no call is overtaken by one that arrived more than the maximum delay later")
 {
     const bool passed = rc::check(
         [](const std::vector<std::uint16_t>& arrivals)
