--- a/include/masticcourse/net/frame.hpp
+++ b/include/masticcourse/net/frame.hpp
@@ -31,11 +31,11 @@
     [[nodiscard]] bool feed(std::string_view bytes, const frame_callback& on_frame);
 
     /// @return whether the bytes so far end in the middle of a frame
-    [[nodiscard]] bool torn() const;
+    [[nodiscard]] bool has_partial_frame() const;
 
   private:
-    std::size_t take_header(std::string_view bytes);
-    std::size_t take_payload(std::string_view bytes, const frame_callback& on_frame);
+    std::size_t consume_header(std::string_view bytes);
+    std::size_t consume_payload(std::string_view bytes, const frame_callback& on_frame);
 
     std::size_t m_max_frame;
     frame_header m_header{};
--- a/include/masticcourse/net/http_client.hpp
+++ b/include/masticcourse/net/http_client.hpp
@@ -41,11 +41,11 @@
     /// For opening a connection; zero leaves it to `timeout`.
     std::chrono::milliseconds connect_timeout{0};
     /// Connections that have been idle for longer are not used for it; zero opens a new one.
-    std::chrono::milliseconds longest_idle{std::chrono::hours{1}};
+    std::chrono::milliseconds max_idle{std::chrono::hours{1}};
     /// Whether it does no harm if the request runs twice; if unset, GET and HEAD count as harmless.
     std::optional<bool> idempotent;
     /// Answers for which this is false belong to other requests: they are read and dropped. Empty takes all.
-    http_head_filter is_own_answer;
+    http_head_filter is_matching_response;
     /// Called once with the head of the answer, before its first piece.
     http_head_callback on_head;
 };
@@ -78,7 +78,7 @@
 };
 
 /// @return whether the client can connect to @a address: "ip:port"
-[[nodiscard]] bool is_client_address(std::string_view address);
+[[nodiscard]] bool is_valid_endpoint(std::string_view address);
 
 using http_reply_callback = std::function<void(http_client_reply)>;
 using http_chunk_callback = std::function<void(std::string_view)>;
--- a/include/masticcourse/net/rpc.hpp
+++ b/include/masticcourse/net/rpc.hpp
@@ -75,7 +75,7 @@
     /// Carries a request to the server and returns its answer; throws if it can't.
     using transport = std::function<std::string(const std::string& request_text)>;
 
-    explicit rpc_client(transport carry);
+    explicit rpc_client(transport send_request);
     rpc_client(const rpc_client&) = delete;
     rpc_client(rpc_client&&) = delete;
     rpc_client& operator=(const rpc_client&) = delete;
--- a/include/masticcourse/net/rpc_http.hpp
+++ b/include/masticcourse/net/rpc_http.hpp
@@ -25,7 +25,7 @@
 
 /// Answers a request by @a server, on the calling thread: the one that owns what the methods read.
 /// @return a JSON-RPC answer, or a problem document if @a request is no POST
-[[nodiscard]] http_response answer_rpc(rpc_server& server, const http_request& request);
+[[nodiscard]] http_response handle_rpc_request(rpc_server& server, const http_request& request);
 
 /// @return a transport that blocks until the answer is there; it throws `std::runtime_error` if there is none
 [[nodiscard]] rpc_client::transport make_http_transport(rpc_http_endpoint endpoint);
--- a/include/masticcourse/net/sse.hpp
+++ b/include/masticcourse/net/sse.hpp
@@ -43,8 +43,8 @@
     [[nodiscard]] bool feed(std::string_view bytes);
 
   private:
-    void take_line(std::string_view line);
-    void take_field(std::string_view name, std::string_view value);
+    void process_line(std::string_view line);
+    void process_field(std::string_view name, std::string_view value);
     void dispatch();
 
     event_callback m_on_event;
@@ -52,8 +52,8 @@
     std::string m_line;
     sse_event m_event;
     bool m_has_data = false;
-    bool m_after_return = false;
-    bool m_at_start = true;
+    bool m_after_cr = false;
+    bool m_at_stream_start = true;
     bool m_overflow = false;
 };
 
--- a/src/gateway/forwarded_request_attempts.cpp
+++ b/src/gateway/forwarded_request_attempts.cpp
@@ -144,7 +144,7 @@
     request.timeout = time_left();
     request.connect_timeout = target_connect_timeout;
     request.idempotent = m_route->repeatable();
-    request.is_own_answer =
+    request.is_matching_response =
         [&protocol = m_services.protocol, id = m_request.id](const http_client_reply& reply)
     { return protocol.is_response_to(reply, id); };
     const auto if_current_attempt = [self = shared_from_this(), attempt](auto action)
--- a/src/net/deadline.cpp
+++ b/src/net/deadline.cpp
@@ -8,11 +8,11 @@
 {
 }
 
-void deadline::set(std::chrono::milliseconds after, std::function<void()> on_expired)
+void deadline::set(std::chrono::milliseconds timeout, std::function<void()> on_expired)
 {
     clear();
     m_state->expired = false;
-    m_timer.expires_after(after);
+    m_timer.expires_after(timeout);
     m_timer.async_wait(
         [weak = std::weak_ptr{m_state}, generation = m_state->generation,
          on_expired = std::move(on_expired)](boost::system::error_code ec)
--- a/src/net/deadline.hpp
+++ b/src/net/deadline.hpp
@@ -21,7 +21,7 @@
 
     /// Replaces what was set before.
     /// @param on_expired must not own the deadline's owner; it may be called only while the deadline exists
-    void set(std::chrono::milliseconds after, std::function<void()> on_expired);
+    void set(std::chrono::milliseconds timeout, std::function<void()> on_expired);
 
     void clear();
 
--- a/src/net/endpoint.cpp
+++ b/src/net/endpoint.cpp
@@ -21,7 +21,7 @@
     return ec == std::errc{} && it == end ? std::optional{port} : std::nullopt;
 }
 
-std::string_view without_brackets(std::string_view host)
+std::string_view strip_brackets(std::string_view host)
 {
     const bool bracketed = host.starts_with('[') && host.ends_with(']');
     return bracketed ? host.substr(1, host.size() - 2) : host;
@@ -37,7 +37,7 @@
         return std::nullopt;
     }
     boost::system::error_code ec;
-    const auto host = boost::asio::ip::make_address(without_brackets(address.substr(0, colon)), ec);
+    const auto host = boost::asio::ip::make_address(strip_brackets(address.substr(0, colon)), ec);
     const auto port = parse_port(address.substr(colon + 1));
     if (ec || !port)
     {
--- a/src/net/frame.cpp
+++ b/src/net/frame.cpp
@@ -12,9 +12,9 @@
 
 constexpr unsigned bits_per_byte = 8;
 /// A length is believed only as far as bytes come: no more memory than this is taken ahead.
-constexpr std::size_t max_reserve = std::size_t{1024} * 1024;
+constexpr std::size_t max_initial_reserve = std::size_t{1024} * 1024;
 
-std::size_t size_in(const frame_header& header)
+std::size_t parse_payload_size(const frame_header& header)
 {
     std::uint32_t size = 0;
     std::ranges::for_each(header, [&size](char it)
@@ -27,12 +27,12 @@
 frame_header make_frame_header(std::size_t size)
 {
     frame_header header{};
-    auto rest = static_cast<std::uint32_t>(size);
+    auto remaining = static_cast<std::uint32_t>(size);
     std::for_each(header.rbegin(), header.rend(),
-                  [&rest](char& it)
+                  [&remaining](char& it)
                   {
-                      it = static_cast<char>(rest & 0xFFU);
-                      rest >>= bits_per_byte;
+                      it = static_cast<char>(remaining & 0xFFU);
+                      remaining >>= bits_per_byte;
                   });
     return header;
 }
@@ -44,35 +44,35 @@
     while (!bytes.empty() && !m_oversized)
     {
         const bool in_header = m_header_bytes < frame_header_size;
-        bytes.remove_prefix(in_header ? take_header(bytes) : 0);
+        bytes.remove_prefix(in_header ? consume_header(bytes) : 0);
         if (m_header_bytes == frame_header_size && !m_oversized)
         {
-            bytes.remove_prefix(take_payload(bytes, on_frame));
+            bytes.remove_prefix(consume_payload(bytes, on_frame));
         }
     }
     return !m_oversized;
 }
 
-bool frame_decoder::torn() const
+bool frame_decoder::has_partial_frame() const
 {
     return m_header_bytes > 0;
 }
 
-std::size_t frame_decoder::take_header(std::string_view bytes)
+std::size_t frame_decoder::consume_header(std::string_view bytes)
 {
     const auto n = std::min(frame_header_size - m_header_bytes, bytes.size());
     std::ranges::copy(bytes.substr(0, n), m_header.begin() + static_cast<std::ptrdiff_t>(m_header_bytes));
     m_header_bytes += n;
     if (m_header_bytes == frame_header_size)
     {
-        m_payload_size = size_in(m_header);
+        m_payload_size = parse_payload_size(m_header);
         m_oversized = m_payload_size > m_max_frame;
-        m_payload.reserve(m_oversized ? 0 : std::min(m_payload_size, max_reserve));
+        m_payload.reserve(m_oversized ? 0 : std::min(m_payload_size, max_initial_reserve));
     }
     return n;
 }
 
-std::size_t frame_decoder::take_payload(std::string_view bytes, const frame_callback& on_frame)
+std::size_t frame_decoder::consume_payload(std::string_view bytes, const frame_callback& on_frame)
 {
     const auto n = std::min(m_payload_size - m_payload.size(), bytes.size());
     m_payload += bytes.substr(0, n);
--- a/src/net/http_answer.cpp
+++ b/src/net/http_answer.cpp
@@ -15,7 +15,7 @@
 
 namespace http = beast_http;
 
-constexpr int status_timeout = 408;
+constexpr int status_request_timeout = 408;
 constexpr int status_header_too_large = 431;
 constexpr std::array statuses_without_body{204, 304};
 
@@ -36,7 +36,7 @@
     return message;
 }
 
-http_response malformed(std::string detail, int status = 0)
+http_response malformed_request_response(std::string detail, int status = 0)
 {
     return problem_response({.id = problem_id::malformed_request, .detail = std::move(detail)}, status);
 }
@@ -89,22 +89,22 @@
     return message;
 }
 
-chunk_frame make_chunk_frame(std::size_t size, bool chunked)
+chunk_framing make_chunk_framing(std::size_t size, bool chunked)
 {
     if (!chunked)
     {
         return {};
     }
-    std::ostringstream before;
-    before << std::hex << size << "\r\n";
-    return {.before = before.str(), .after = "\r\n"};
+    std::ostringstream prefix;
+    prefix << std::hex << size << "\r\n";
+    return {.prefix = prefix.str(), .suffix = "\r\n"};
 }
 
-std::optional<http_response> refusal_of(boost::system::error_code ec, bool timed_out)
+std::optional<http_response> error_response_for(boost::system::error_code ec, bool timed_out)
 {
     if (timed_out)
     {
-        return malformed("the request did not come in time", status_timeout);
+        return malformed_request_response("the request did not come in time", status_request_timeout);
     }
     if (ec == http::error::body_limit)
     {
@@ -112,15 +112,15 @@
     }
     if (ec == http::error::header_limit || ec == http::error::buffer_overflow)
     {
-        return malformed("the header is too large", status_header_too_large);
+        return malformed_request_response("the header is too large", status_header_too_large);
     }
-    const bool sender_gone = ec == http::error::end_of_stream || ec == http::error::partial_message;
-    const bool malformed_message = ec.category() == make_error_code(http::error::bad_method).category();
-    if (sender_gone || !malformed_message)
+    const bool peer_closed = ec == http::error::end_of_stream || ec == http::error::partial_message;
+    const bool is_parse_error = ec.category() == make_error_code(http::error::bad_method).category();
+    if (peer_closed || !is_parse_error)
     {
         return std::nullopt;
     }
-    return malformed(ec.message());
+    return malformed_request_response(ec.message());
 }
 
 } // namespace masticcourse::detail
--- a/src/net/http_answer.hpp
+++ b/src/net/http_answer.hpp
@@ -31,16 +31,16 @@
 to_stream_head(int status, const std::vector<http_header>& headers, unsigned version, bool keep_alive);
 
 /// What stands around a part of a streamed body.
-struct chunk_frame
+struct chunk_framing
 {
-    std::string before;
-    std::string after;
+    std::string prefix;
+    std::string suffix;
 };
 
 /// @param chunked false for callers that know no chunks (HTTP/1.0): nothing stands around the part then
-[[nodiscard]] chunk_frame make_chunk_frame(std::size_t size, bool chunked);
+[[nodiscard]] chunk_framing make_chunk_framing(std::size_t size, bool chunked);
 
 /// @return the answer to a request that could not be read, or nothing if its sender is gone
-[[nodiscard]] std::optional<http_response> refusal_of(boost::system::error_code ec, bool timed_out);
+[[nodiscard]] std::optional<http_response> error_response_for(boost::system::error_code ec, bool timed_out);
 
 } // namespace masticcourse::detail
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -24,7 +24,7 @@
     return "the connection broke; the request may have taken effect";
 }
 
-bool is_client_address(std::string_view address)
+bool is_valid_endpoint(std::string_view address)
 {
     return detail::parse_endpoint(address).has_value();
 }
@@ -39,7 +39,7 @@
 {
   public:
     explicit pool(boost::asio::io_context& context)
-        : m_context(context), m_idle(std::make_shared<detail::connection_pool>())
+        : m_context(context), m_connections(std::make_shared<detail::connection_pool>())
     {
     }
 
@@ -47,13 +47,13 @@
                                                                        http_chunk_callback on_chunk,
                                                                        http_reply_callback on_reply) const
     {
-        return std::make_shared<detail::http_transfer>(m_context, m_idle, std::move(request),
+        return std::make_shared<detail::http_transfer>(m_context, m_connections, std::move(request),
                                                        std::move(on_chunk), std::move(on_reply));
     }
 
   private:
     boost::asio::io_context& m_context;
-    std::shared_ptr<detail::connection_pool> m_idle;
+    std::shared_ptr<detail::connection_pool> m_connections;
 };
 
 http_client::http_client(boost::asio::io_context& context) : m_pool(std::make_shared<pool>(context)) {}
--- a/src/net/http_connection.cpp
+++ b/src/net/http_connection.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t max_idle_per_address = 64;
 /// Of a connection whose server states no limit: shorter than servers usually keep theirs, so that a request
 /// rarely meets a closing connection.
-constexpr std::chrono::milliseconds default_idle_limit{15'000};
+constexpr std::chrono::milliseconds default_idle_timeout{15'000};
 
 } // namespace
 
@@ -27,7 +27,7 @@
 {
 }
 
-bool http_connection::quiet()
+bool http_connection::is_reusable()
 {
     std::array<char, 1> byte{};
     error_code ec;
@@ -63,40 +63,41 @@
     return connection;
 }
 
-std::shared_ptr<http_connection> connection_pool::take(const std::string& address,
-                                                       std::chrono::milliseconds longest_idle)
+std::shared_ptr<http_connection> connection_pool::acquire(const std::string& address,
+                                                          std::chrono::milliseconds max_idle)
 {
     const auto now = std::chrono::steady_clock::now();
-    const auto stale = [now](const http_connection& it) { return it.idle_since + it.idle_limit < now; };
-    const auto rested = [now, longest_idle](const http_connection& it)
-    { return it.idle_since + longest_idle < now; };
+    const auto expired = [now](const http_connection& it) { return it.idle_since + it.idle_timeout < now; };
+    const auto idle_too_long = [now, max_idle](const http_connection& it)
+    { return it.idle_since + max_idle < now; };
     auto connection = pop(address);
-    if (connection && rested(*connection))
+    if (connection && idle_too_long(*connection))
     {
         // The others have been idle for longer still; they stay for requests that don't mind.
-        put_back(address, connection);
+        return_unused(address, connection);
         return nullptr;
     }
-    while (connection && (stale(*connection) || !connection->quiet()))
+    while (connection && (expired(*connection) || !connection->is_reusable()))
     {
         connection = pop(address);
     }
     return connection;
 }
 
-void connection_pool::put_back(const std::string& address, const std::shared_ptr<http_connection>& connection)
+void connection_pool::return_unused(const std::string& address,
+                                    const std::shared_ptr<http_connection>& connection)
 {
     const std::scoped_lock lock(m_mutex);
     m_idle[address].push_back(connection);
 }
 
-void connection_pool::put(const std::string& address, const std::shared_ptr<http_connection>& connection)
+void connection_pool::release(const std::string& address, const std::shared_ptr<http_connection>& connection)
 {
     connection->idle_since = std::chrono::steady_clock::now();
     connection->reused = true;
-    if (connection->idle_limit.count() == 0)
+    if (connection->idle_timeout.count() == 0)
     {
-        connection->idle_limit = default_idle_limit;
+        connection->idle_timeout = default_idle_timeout;
     }
     const std::scoped_lock lock(m_mutex);
     auto& idle = m_idle[address];
--- a/src/net/http_connection.hpp
+++ b/src/net/http_connection.hpp
@@ -26,7 +26,7 @@
     explicit http_connection(boost::asio::io_context& context);
 
     /// @return whether the other end has neither closed nor sent anything unasked
-    [[nodiscard]] bool quiet();
+    [[nodiscard]] bool is_reusable();
 
     void close();
 
@@ -36,7 +36,7 @@
     /// Whether an earlier request was answered on it.
     bool reused = false;
     /// How long it may wait for its next request, as the server said.
-    std::chrono::milliseconds idle_limit{0};
+    std::chrono::milliseconds idle_timeout{0};
     std::chrono::steady_clock::time_point idle_since;
 };
 
@@ -46,15 +46,15 @@
   public:
     /// @param longest_idle one that has been idle for longer is not given out
     /// @return a quiet connection, or null if there is none
-    [[nodiscard]] std::shared_ptr<http_connection> take(const std::string& address,
-                                                        std::chrono::milliseconds longest_idle);
+    [[nodiscard]] std::shared_ptr<http_connection> acquire(const std::string& address,
+                                                           std::chrono::milliseconds max_idle);
 
     /// Keeps @a connection for the next request, unless enough are kept.
-    void put(const std::string& address, const std::shared_ptr<http_connection>& connection);
+    void release(const std::string& address, const std::shared_ptr<http_connection>& connection);
 
   private:
     [[nodiscard]] std::shared_ptr<http_connection> pop(const std::string& address);
-    void put_back(const std::string& address, const std::shared_ptr<http_connection>& connection);
+    void return_unused(const std::string& address, const std::shared_ptr<http_connection>& connection);
 
     std::mutex m_mutex;
     std::unordered_map<std::string, std::vector<std::shared_ptr<http_connection>>> m_idle;
--- a/src/net/http_message.cpp
+++ b/src/net/http_message.cpp
@@ -10,21 +10,21 @@
 namespace
 {
 
-bool same_letter(char a, char b)
+bool equal_ignoring_case(char a, char b)
 {
     return std::tolower(static_cast<unsigned char>(a)) == std::tolower(static_cast<unsigned char>(b));
 }
 
-bool same_name(std::string_view a, std::string_view b)
+bool iequals(std::string_view a, std::string_view b)
 {
-    return std::ranges::equal(a, b, same_letter);
+    return std::ranges::equal(a, b, equal_ignoring_case);
 }
 
 } // namespace
 
 std::optional<std::string> find_header(const std::vector<http_header>& headers, std::string_view name)
 {
-    const auto it = std::ranges::find_if(headers, [name](const auto& h) { return same_name(h.name, name); });
+    const auto it = std::ranges::find_if(headers, [name](const auto& h) { return iequals(h.name, name); });
     return it != headers.end() ? std::optional{it->value} : std::nullopt;
 }
 
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -18,7 +18,7 @@
              http_handler handler)
         : m_state(std::make_shared<detail::http_server_state>()),
           m_acceptor(std::make_shared<detail::tcp_acceptor>(
-              context, address, [state = m_state](auto socket) { take(state, std::move(socket)); }))
+              context, address, [state = m_state](auto socket) { accept_session(state, std::move(socket)); }))
     {
         m_state->limits = limits;
         m_state->handler = std::move(handler);
@@ -33,8 +33,8 @@
     {
         m_state->closing = true;
         m_state->stopping = true;
-        m_acceptor->finish([state = m_state]
-                           { for_each_session(*state, [](detail::http_session& it) { it.stop(); }); });
+        m_acceptor->drain_and_close(
+            [state = m_state] { for_each_session(*state, [](detail::http_session& it) { it.stop(); }); });
     }
 
     void set_limits(const http_limits& limits)
@@ -67,12 +67,12 @@
   private:
     using state_ptr = std::shared_ptr<detail::http_server_state>;
 
-    static void take(const state_ptr& state, boost::asio::ip::tcp::socket socket)
+    static void accept_session(const state_ptr& state, boost::asio::ip::tcp::socket socket)
     {
         const auto session = std::make_shared<detail::http_session>(std::move(socket), state);
-        if (full(*state))
+        if (at_connection_limit(*state))
         {
-            session->refuse();
+            session->reject_connection();
         }
         else
         {
@@ -80,7 +80,7 @@
         }
     }
 
-    [[nodiscard]] static bool full(detail::http_server_state& state)
+    [[nodiscard]] static bool at_connection_limit(detail::http_server_state& state)
     {
         const std::scoped_lock lock(state.mutex);
         return state.sessions.size() >= state.limits.max_connections;
--- a/src/net/http_session.cpp
+++ b/src/net/http_session.cpp
@@ -31,29 +31,29 @@
 /// How much of the requests that follow is read while one is being answered.
 constexpr std::size_t max_read_ahead = std::size_t{64} * 1024;
 /// How long a caller may take to close after the last answer.
-constexpr std::chrono::milliseconds linger_time{1'000};
+constexpr std::chrono::milliseconds linger_timeout{1'000};
 
 /// @return whether two readers could disagree where the body ends: only `chunked` alone is understood here,
 /// and what others take for a body would be read as the next request
-bool ambiguous_length(const http::request<http::string_body>& message)
+bool has_ambiguous_length(const http::request<http::string_body>& message)
 {
     const auto encoding = message[http::field::transfer_encoding];
     return !encoding.empty() && !boost::beast::iequals(encoding, "chunked");
 }
 
 /// Counts a request as under way while it exists.
-class open_exchange_count
+class open_exchange_guard
 {
   public:
-    explicit open_exchange_count(std::shared_ptr<http_server_state> server) : m_server(std::move(server))
+    explicit open_exchange_guard(std::shared_ptr<http_server_state> server) : m_server(std::move(server))
     {
         ++m_server->open_exchanges;
     }
-    open_exchange_count(const open_exchange_count&) = delete;
-    open_exchange_count(open_exchange_count&&) = delete;
-    open_exchange_count& operator=(const open_exchange_count&) = delete;
-    open_exchange_count& operator=(open_exchange_count&&) = delete;
-    ~open_exchange_count()
+    open_exchange_guard(const open_exchange_guard&) = delete;
+    open_exchange_guard(open_exchange_guard&&) = delete;
+    open_exchange_guard& operator=(const open_exchange_guard&) = delete;
+    open_exchange_guard& operator=(open_exchange_guard&&) = delete;
+    ~open_exchange_guard()
     {
         --m_server->open_exchanges;
     }
@@ -145,9 +145,9 @@
         m_socket.get_executor(), [self = shared_from_this()] { return self->run(); }, asio::detached);
 }
 
-void http_session::refuse()
+void http_session::reject_connection()
 {
-    auto work = [](std::shared_ptr<http_session> self) -> asio::awaitable<void>
+    auto task = [](std::shared_ptr<http_session> self) -> asio::awaitable<void>
     {
         const problem failure{.id = problem_id::overloaded,
                               .detail = "too many connections",
@@ -159,7 +159,7 @@
         self->finish();
     };
     register_session();
-    asio::co_spawn(m_socket.get_executor(), work(shared_from_this()), asio::detached);
+    asio::co_spawn(m_socket.get_executor(), task(shared_from_this()), asio::detached);
 }
 
 void http_session::stop()
@@ -169,7 +169,7 @@
                {
                    if (self->m_idle)
                    {
-                       self->close_on(self->m_server->limits.stop_grace);
+                       self->close_after(self->m_server->limits.stop_grace);
                    }
                });
 }
@@ -181,37 +181,37 @@
 
 asio::awaitable<void> http_session::run()
 {
-    bool more = true;
-    while (more)
+    bool keep_open = true;
+    while (keep_open)
     {
-        more = co_await serve_one();
+        keep_open = co_await serve_request();
     }
     finish();
 }
 
-asio::awaitable<bool> http_session::serve_one()
+asio::awaitable<bool> http_session::serve_request()
 {
     using namespace asio::experimental::awaitable_operators;
     if (!co_await wait_for_request())
     {
         co_return false;
     }
-    std::optional<open_exchange_count> count(m_server);
+    std::optional<open_exchange_guard> open_exchange(m_server);
     request_parser parser;
     if (const auto ec = co_await read_request(parser))
     {
-        co_await reject(ec);
+        co_await reject_request(ec);
         co_return false;
     }
-    hand_over(parser);
-    const auto done = co_await (write_answer() || watch_peer());
-    m_answer.written = done.index() == 0 && std::get<0>(done);
-    count.reset();
-    if (!m_answer.written)
+    dispatch(parser);
+    const auto done = co_await (send_response() || watch_connection());
+    m_response.written = done.index() == 0 && std::get<0>(done);
+    open_exchange.reset();
+    if (!m_response.written)
     {
         co_return false;
     }
-    m_answer.on_closed = nullptr;
+    m_response.on_closed = nullptr;
     if (!m_request.keep_alive)
     {
         co_await linger();
@@ -226,7 +226,7 @@
         co_return true;
     }
     m_idle = true;
-    close_on(m_server->stopping ? m_server->limits.stop_grace : m_server->limits.idle_timeout);
+    close_after(m_server->stopping ? m_server->limits.stop_grace : m_server->limits.idle_timeout);
     const auto [ec, n] = co_await m_socket.async_read_some(m_buffer.prepare(read_size), use_tuple);
     m_deadline.clear();
     m_idle = false;
@@ -248,51 +248,51 @@
         }
     };
     const auto limits = m_server->limits;
-    const bool header_apart = limits.header_timeout.count() > 0;
-    m_deadline.set(header_apart ? limits.header_timeout : limits.read_timeout, stop_reading);
+    const bool separate_header_timeout = limits.header_timeout.count() > 0;
+    m_deadline.set(separate_header_timeout ? limits.header_timeout : limits.read_timeout, stop_reading);
     auto [ec, n] = co_await http::async_read_header(m_socket, m_buffer, parser, use_tuple);
-    if (!ec && ambiguous_length(parser.get()))
+    if (!ec && has_ambiguous_length(parser.get()))
     {
         ec = http::error::bad_transfer_encoding;
     }
-    if (!ec && header_apart)
+    if (!ec && separate_header_timeout)
     {
         m_deadline.set(limits.read_timeout, stop_reading);
     }
     if (!ec && !parser.is_done() && boost::beast::iequals(parser.get()[http::field::expect], "100-continue"))
     {
-        static constexpr std::string_view go_on = "HTTP/1.1 100 Continue\r\n\r\n";
-        const auto written = co_await asio::async_write(m_socket, asio::buffer(go_on), use_tuple);
+        static constexpr std::string_view continue_response = "HTTP/1.1 100 Continue\r\n\r\n";
+        const auto written = co_await asio::async_write(m_socket, asio::buffer(continue_response), use_tuple);
         ec = std::get<0>(written);
     }
     if (!ec)
     {
-        const auto rest = co_await http::async_read(m_socket, m_buffer, parser, use_tuple);
-        ec = std::get<0>(rest);
+        const auto body_read = co_await http::async_read(m_socket, m_buffer, parser, use_tuple);
+        ec = std::get<0>(body_read);
     }
     m_deadline.clear();
     co_return ec;
 }
 
-asio::awaitable<void> http_session::reject(error_code ec)
+asio::awaitable<void> http_session::reject_request(error_code ec)
 {
-    const auto refusal = refusal_of(ec, m_deadline.expired());
+    const auto error_response = error_response_for(ec, m_deadline.expired());
     m_request = {};
-    if (refusal && co_await write_response(*refusal))
+    if (error_response && co_await write_response(*error_response))
     {
         co_await linger();
     }
 }
 
-void http_session::hand_over(request_parser& parser)
+void http_session::dispatch(request_parser& parser)
 {
     auto& message = parser.get();
     m_request = {.keep_alive = message.keep_alive(),
                  .head_only = message.method() == http::verb::head,
                  .version = message.version()};
-    m_answer = {.number = m_answer.number + 1};
-    m_caller_gone = false;
-    auto exchange = std::make_shared<session_exchange>(weak_from_this(), m_answer.number);
+    m_response = {.number = m_response.number + 1};
+    m_caller_disconnected = false;
+    auto exchange = std::make_shared<session_exchange>(weak_from_this(), m_response.number);
     try
     {
         m_server->handler(to_request(message), exchange);
@@ -305,34 +305,34 @@
     }
 }
 
-asio::awaitable<bool> http_session::write_answer()
+asio::awaitable<bool> http_session::send_response()
 {
     bool ok = true;
     while (ok)
     {
-        if (auto response = std::exchange(m_answer.response, std::nullopt))
+        if (auto response = std::exchange(m_response.response, std::nullopt))
         {
             co_return co_await write_response(std::move(*response));
         }
-        if (auto head = std::exchange(m_answer.head, std::nullopt))
+        if (auto head = std::exchange(m_response.head, std::nullopt))
         {
             ok = co_await write_head(std::move(*head));
         }
-        else if (!m_answer.chunks.empty())
+        else if (!m_response.chunks.empty())
         {
             ok = co_await write_chunks();
         }
-        else if (m_answer.complete)
+        else if (m_response.complete)
         {
             co_return co_await write_end();
         }
-        else if (m_answer.dropped || !m_socket.is_open())
+        else if (m_response.dropped || !m_socket.is_open())
         {
             co_return false;
         }
         else
         {
-            co_await wait_for_answer();
+            co_await wait_for_update();
         }
     }
     co_return false;
@@ -343,7 +343,7 @@
     m_request.keep_alive = m_request.keep_alive && !m_server->closing;
     auto message = to_message(std::move(response), m_request.version, m_request.keep_alive);
     http::response_serializer<http::string_body> serializer(message);
-    close_on(m_server->limits.write_timeout);
+    close_after(m_server->limits.write_timeout);
     error_code ec;
     if (m_request.head_only)
     {
@@ -367,7 +367,7 @@
     m_request.keep_alive = m_request.keep_alive && chunked() && !m_server->closing;
     auto message = to_stream_head(head.status, head.headers, m_request.version, m_request.keep_alive);
     http::response_serializer<http::empty_body> serializer(message);
-    close_on(m_server->limits.write_timeout);
+    close_after(m_server->limits.write_timeout);
     const auto [ec, n] = co_await http::async_write_header(m_socket, serializer, use_tuple);
     m_deadline.clear();
     co_return !ec;
@@ -376,7 +376,7 @@
 template <typename Buffers>
 asio::awaitable<bool> http_session::write_buffers(const Buffers& buffers)
 {
-    close_on(m_server->limits.write_timeout);
+    close_after(m_server->limits.write_timeout);
     const auto [ec, n] = co_await asio::async_write(m_socket, buffers, use_tuple);
     m_deadline.clear();
     co_return !ec;
@@ -384,20 +384,20 @@
 
 asio::awaitable<bool> http_session::write_chunks()
 {
-    const auto chunks = std::exchange(m_answer.chunks, {});
-    const auto size = std::exchange(m_answer.backlog, 0);
+    const auto chunks = std::exchange(m_response.chunks, {});
+    const auto size = std::exchange(m_response.backlog, 0);
     if (m_request.head_only)
     {
         co_return true;
     }
     // The parts go out as one chunk, straight from the strings that the handler gave.
-    const auto frame = make_chunk_frame(size, chunked());
+    const auto framing = make_chunk_framing(size, chunked());
     std::vector<asio::const_buffer> buffers;
     buffers.reserve(chunks.size() + 2);
-    buffers.push_back(asio::buffer(frame.before));
+    buffers.push_back(asio::buffer(framing.prefix));
     std::ranges::transform(chunks, std::back_inserter(buffers),
                            [](const std::string& it) { return asio::buffer(it); });
-    buffers.push_back(asio::buffer(frame.after));
+    buffers.push_back(asio::buffer(framing.suffix));
     co_return co_await write_buffers(buffers);
 }
 
@@ -411,12 +411,12 @@
     co_return co_await write_buffers(asio::buffer(last_chunk));
 }
 
-asio::awaitable<void> http_session::wait_for_answer()
+asio::awaitable<void> http_session::wait_for_update()
 {
     co_await m_wake.async_wait(use_tuple);
 }
 
-asio::awaitable<void> http_session::watch_peer()
+asio::awaitable<void> http_session::watch_connection()
 {
     error_code ec;
     while (!ec && m_buffer.size() < max_read_ahead)
@@ -429,11 +429,11 @@
     {
         // The caller may have closed one direction only and still wait for its answer.
         m_request.keep_alive = false;
-        caller_gone();
+        handle_disconnect();
     }
     // Ends when the answer does.
-    asio::steady_timer never(m_socket.get_executor(), asio::steady_timer::time_point::max());
-    co_await never.async_wait(use_tuple);
+    asio::steady_timer never_expiring(m_socket.get_executor(), asio::steady_timer::time_point::max());
+    co_await never_expiring.async_wait(use_tuple);
 }
 
 asio::awaitable<void> http_session::linger()
@@ -441,7 +441,7 @@
     // Closing with unread bytes would reset the connection and may destroy the answer on its way.
     error_code ignored;
     m_socket.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
-    close_on(linger_time);
+    close_after(linger_timeout);
     m_buffer.clear();
     error_code ec;
     while (!ec)
@@ -452,16 +452,16 @@
     m_deadline.clear();
 }
 
-template <typename Change>
-void http_session::post_change(std::uint64_t exchange, Change change)
+template <typename Update>
+void http_session::post_update(std::uint64_t exchange, Update update)
 {
     asio::post(m_socket.get_executor(),
-               [self = shared_from_this(), exchange, change = std::move(change)]() mutable
+               [self = shared_from_this(), exchange, update = std::move(update)]() mutable
                {
-                   auto& answer = self->m_answer;
-                   if (answer.number == exchange && !answer.complete && !answer.dropped)
+                   auto& state = self->m_response;
+                   if (state.number == exchange && !state.complete && !state.dropped)
                    {
-                       change(*self, answer);
+                       update(*self, state);
                        self->m_wake.cancel();
                    }
                });
@@ -469,19 +469,19 @@
 
 void http_session::post_response(std::uint64_t exchange, http_response response)
 {
-    post_change(exchange,
-                [response = std::move(response)](http_session&, answer_state& answer) mutable
+    post_update(exchange,
+                [response = std::move(response)](http_session&, response_state& state) mutable
                 {
-                    answer.response = std::move(response);
-                    answer.complete = true;
+                    state.response = std::move(response);
+                    state.complete = true;
                 });
 }
 
 void http_session::post_stream(std::uint64_t exchange, int status, std::vector<http_header> headers)
 {
-    post_change(exchange,
-                [status, headers = std::move(headers)](http_session&, answer_state& answer) mutable {
-                    answer.head = stream_head{status, std::move(headers)};
+    post_update(exchange,
+                [status, headers = std::move(headers)](http_session&, response_state& state) mutable {
+                    state.head = stream_head{status, std::move(headers)};
                 });
 }
 
@@ -491,12 +491,12 @@
     {
         return;
     }
-    post_change(exchange,
-                [chunk = std::move(chunk)](http_session& self, answer_state& answer) mutable
+    post_update(exchange,
+                [chunk = std::move(chunk)](http_session& self, response_state& state) mutable
                 {
-                    answer.backlog += chunk.size();
-                    answer.chunks.push_back(std::move(chunk));
-                    if (answer.backlog > self.m_server->limits.max_stream_backlog)
+                    state.backlog += chunk.size();
+                    state.chunks.push_back(std::move(chunk));
+                    if (state.backlog > self.m_server->limits.max_stream_backlog)
                     {
                         self.close();
                     }
@@ -505,12 +505,12 @@
 
 void http_session::post_end(std::uint64_t exchange)
 {
-    post_change(exchange, [](http_session&, answer_state& answer) { answer.complete = true; });
+    post_update(exchange, [](http_session&, response_state& state) { state.complete = true; });
 }
 
 void http_session::post_dropped(std::uint64_t exchange)
 {
-    post_change(exchange, [](http_session&, answer_state& answer) { answer.dropped = true; });
+    post_update(exchange, [](http_session&, response_state& state) { state.dropped = true; });
 }
 
 void http_session::post_on_closed(std::uint64_t exchange, std::function<void()> callback)
@@ -518,28 +518,28 @@
     asio::post(m_socket.get_executor(),
                [self = shared_from_this(), exchange, callback = std::move(callback)]() mutable
                {
-                   if (self->m_answer.number != exchange || self->m_answer.written)
+                   if (self->m_response.number != exchange || self->m_response.written)
                    {
                        return;
                    }
-                   self->m_answer.on_closed = std::move(callback);
-                   if (self->m_caller_gone || self->m_finished)
+                   self->m_response.on_closed = std::move(callback);
+                   if (self->m_caller_disconnected || self->m_finished)
                    {
-                       self->caller_gone();
+                       self->handle_disconnect();
                    }
                });
 }
 
-void http_session::caller_gone()
+void http_session::handle_disconnect()
 {
-    m_caller_gone = true;
-    if (const auto callback = std::exchange(m_answer.on_closed, nullptr))
+    m_caller_disconnected = true;
+    if (const auto callback = std::exchange(m_response.on_closed, nullptr))
     {
         callback();
     }
 }
 
-void http_session::close_on(std::chrono::milliseconds timeout)
+void http_session::close_after(std::chrono::milliseconds timeout)
 {
     m_deadline.set(timeout,
                    [weak = weak_from_this()]
@@ -568,9 +568,9 @@
 {
     m_finished = true;
     close();
-    if (!m_answer.written)
+    if (!m_response.written)
     {
-        caller_gone();
+        handle_disconnect();
     }
     const std::scoped_lock lock(m_server->mutex);
     m_server->sessions.erase(this);
--- a/src/net/http_session.hpp
+++ b/src/net/http_session.hpp
@@ -53,7 +53,7 @@
     /// Serves the connection until it closes.
     void serve();
     /// Says that the server has too many connections, and closes.
-    void refuse();
+    void reject_connection();
     /// Closes soon if the connection is idle, else after the answer under way. Thread-safe.
     void stop();
     /// Closes at once. Thread-safe.
@@ -79,7 +79,7 @@
     };
 
     /// The answer under way, as far as the handler has given it.
-    struct answer_state
+    struct response_state
     {
         std::uint64_t number = 0;
         std::optional<http_response> response;
@@ -103,27 +103,27 @@
     };
 
     boost::asio::awaitable<void> run();
-    boost::asio::awaitable<bool> serve_one();
+    boost::asio::awaitable<bool> serve_request();
     boost::asio::awaitable<bool> wait_for_request();
     boost::asio::awaitable<boost::system::error_code> read_request(request_parser& parser);
-    boost::asio::awaitable<void> reject(boost::system::error_code ec);
-    void hand_over(request_parser& parser);
+    boost::asio::awaitable<void> reject_request(boost::system::error_code ec);
+    void dispatch(request_parser& parser);
 
-    boost::asio::awaitable<bool> write_answer();
+    boost::asio::awaitable<bool> send_response();
     boost::asio::awaitable<bool> write_response(http_response response);
     boost::asio::awaitable<bool> write_head(stream_head head);
     boost::asio::awaitable<bool> write_chunks();
     boost::asio::awaitable<bool> write_end();
     template <typename Buffers>
     boost::asio::awaitable<bool> write_buffers(const Buffers& buffers);
-    boost::asio::awaitable<void> wait_for_answer();
-    boost::asio::awaitable<void> watch_peer();
+    boost::asio::awaitable<void> wait_for_update();
+    boost::asio::awaitable<void> watch_connection();
     boost::asio::awaitable<void> linger();
 
-    template <typename Change>
-    void post_change(std::uint64_t exchange, Change change);
-    void caller_gone();
-    void close_on(std::chrono::milliseconds timeout);
+    template <typename Update>
+    void post_update(std::uint64_t exchange, Update update);
+    void handle_disconnect();
+    void close_after(std::chrono::milliseconds timeout);
     void close();
     void register_session();
     void finish();
@@ -135,10 +135,10 @@
     deadline m_deadline;
     /// Never expires; cancelling it wakes the coroutine that writes the answer.
     boost::asio::steady_timer m_wake;
-    answer_state m_answer;
+    response_state m_response;
     request_traits m_request;
     bool m_idle = false;
-    bool m_caller_gone = false;
+    bool m_caller_disconnected = false;
     bool m_finished = false;
 };
 
--- a/src/net/http_transfer.cpp
+++ b/src/net/http_transfer.cpp
@@ -28,19 +28,19 @@
 using boost::system::error_code;
 
 constexpr unsigned http_1_1 = 11;
-constexpr int success_class = 2;
+constexpr int status_class_success = 2;
 constexpr std::uint32_t max_reply_header = 64 * 1024;
 /// How many answers to other requests are skipped on one connection before it counts as broken.
-constexpr int max_foreign_answers = 4;
+constexpr int max_mismatched_responses = 4;
 /// Sent bytes that stay unacknowledged for so long end the connection: the other end or the path is gone.
 /// Several retransmissions on links of milliseconds, and well under a caller's usual patience of seconds.
-constexpr std::chrono::milliseconds unacknowledged_limit{1'500};
+constexpr std::chrono::milliseconds unacknowledged_timeout{1'500};
 
 /// The socket option that bounds how long sent bytes may stay unacknowledged, in Asio's form.
-class user_timeout
+class tcp_user_timeout
 {
   public:
-    explicit user_timeout(std::chrono::milliseconds limit) : m_value(static_cast<int>(limit.count())) {}
+    explicit tcp_user_timeout(std::chrono::milliseconds limit) : m_value(static_cast<int>(limit.count())) {}
 
     template <typename Protocol>
     [[nodiscard]] int level(const Protocol& /*protocol*/) const
@@ -77,7 +77,7 @@
     message.method_string(request.method);
     message.target(request.target);
     message.set(http::field::host, request.address);
-    const auto add = [&message](const http_header& it)
+    const auto add_header = [&message](const http_header& it)
     {
         if (boost::beast::iequals(it.name, "host"))
         {
@@ -89,7 +89,7 @@
             message.insert(it.name, it.value);
         }
     };
-    std::ranges::for_each(request.headers, add);
+    std::ranges::for_each(request.headers, add_header);
     message.body() = request.body;
     message.prepare_payload();
     return message;
@@ -97,19 +97,19 @@
 
 /// @param stated the value of a `Keep-Alive` header
 /// @return how long the connection may be idle: less than stated, as a request must still reach the server
-std::chrono::milliseconds idle_limit_of(std::string_view stated)
+std::chrono::milliseconds parse_keep_alive_timeout(std::string_view keep_alive_header)
 {
     // Four fifths of a timeout of whole seconds leave at least 200 ms for the way.
-    constexpr int kept_of_second = 800;
+    constexpr int usable_ms_per_second = 800;
     constexpr std::string_view name = "timeout=";
-    const auto at = stated.find(name);
+    const auto position = keep_alive_header.find(name);
     int seconds = 0;
-    if (at != std::string_view::npos)
+    if (position != std::string_view::npos)
     {
-        const auto digits = stated.substr(at + name.size());
+        const auto digits = keep_alive_header.substr(position + name.size());
         std::from_chars(digits.data(), digits.data() + digits.size(), seconds);
     }
-    return std::chrono::milliseconds{kept_of_second} * seconds;
+    return std::chrono::milliseconds{usable_ms_per_second} * seconds;
 }
 
 } // namespace
@@ -125,11 +125,11 @@
 
 void http_transfer::start()
 {
-    auto connection = m_pool->take(m_request.address, m_request.longest_idle);
-    begin_on(connection ? connection : std::make_shared<http_connection>(m_context));
+    auto connection = m_pool->acquire(m_request.address, m_request.max_idle);
+    start_on(connection ? connection : std::make_shared<http_connection>(m_context));
 }
 
-void http_transfer::begin_on(const connection_ptr& connection)
+void http_transfer::start_on(const connection_ptr& connection)
 {
     asio::co_spawn(
         connection->socket.get_executor(),
@@ -172,15 +172,15 @@
     else if (connection->socket.is_open() || co_await connect(connection))
     {
         set_timer(connection);
-        const bool whole = co_await exchange(connection);
+        const bool complete = co_await exchange(connection);
         connection->timer.clear();
-        if (!whole && may_retry(*connection))
+        if (!complete && may_retry(*connection))
         {
             connection->close();
-            begin_on(std::make_shared<http_connection>(m_context));
+            start_on(std::make_shared<http_connection>(m_context));
             co_return;
         }
-        if (!whole)
+        if (!complete)
         {
             fail(connection->timer.expired() ? http_failure::timeout : http_failure::broken);
         }
@@ -196,8 +196,9 @@
         fail(http_failure::connect);
         co_return false;
     }
-    const auto own_bound = m_request.connect_timeout;
-    set_timer(connection, own_bound.count() > 0 ? std::min(own_bound, time_left()) : time_left());
+    const auto connect_limit = m_request.connect_timeout;
+    set_timer(connection,
+              connect_limit.count() > 0 ? std::min(connect_limit, remaining_time()) : remaining_time());
     const auto [ec] = co_await connection->socket.async_connect(*endpoint, use_tuple);
     connection->timer.clear();
     if (ec || !connection->socket.is_open())
@@ -207,7 +208,7 @@
     }
     error_code ignored;
     connection->socket.set_option(asio::ip::tcp::no_delay(true), ignored);
-    connection->socket.set_option(user_timeout(unacknowledged_limit), ignored);
+    connection->socket.set_option(tcp_user_timeout(unacknowledged_timeout), ignored);
     co_return true;
 }
 
@@ -219,17 +220,17 @@
     {
         co_return false;
     }
-    bool whole = co_await read_answer(connection);
-    for (int n = 0; whole && m_foreign && n < max_foreign_answers; ++n)
+    bool complete = co_await read_response(connection);
+    for (int n = 0; complete && m_response_mismatched && n < max_mismatched_responses; ++n)
     {
         m_reply = {};
-        whole = m_keep_alive && co_await read_answer(connection);
+        complete = m_keep_alive && co_await read_response(connection);
     }
     m_keep_alive = m_keep_alive && sent;
-    co_return whole && !m_foreign;
+    co_return complete && !m_response_mismatched;
 }
 
-asio::awaitable<bool> http_transfer::read_answer(connection_ptr connection)
+asio::awaitable<bool> http_transfer::read_response(connection_ptr connection)
 {
     reply_parser parser;
     parser.header_limit(max_reply_header);
@@ -246,7 +247,7 @@
 {
     const auto [ec, n] =
         co_await http::async_read_header(connection->socket, connection->buffer, parser, use_tuple);
-    m_answer_begun = n > 0 || connection->buffer.size() > 0;
+    m_response_started = n > 0 || connection->buffer.size() > 0;
     if (ec)
     {
         co_return false;
@@ -254,12 +255,12 @@
     m_reply.status = static_cast<int>(parser.get().result_int());
     m_reply.headers = to_headers(parser.get());
     m_keep_alive = parser.get().keep_alive() && !parser.need_eof();
-    if (const auto stated = find_header(m_reply.headers, "Keep-Alive"))
+    if (const auto keep_alive_header = find_header(m_reply.headers, "Keep-Alive"))
     {
-        connection->idle_limit = idle_limit_of(*stated);
+        connection->idle_timeout = parse_keep_alive_timeout(*keep_alive_header);
     }
-    m_foreign = m_request.is_own_answer && !m_request.is_own_answer(m_reply);
-    if (!m_foreign && m_request.on_head)
+    m_response_mismatched = m_request.is_matching_response && !m_request.is_matching_response(m_reply);
+    if (!m_response_mismatched && m_request.on_head)
     {
         m_request.on_head(m_reply);
     }
@@ -284,19 +285,19 @@
 {
     auto& body = parser.get().body();
     error_code ec;
-    if (streamed())
+    if (is_streaming())
     {
         set_timer(connection);
     }
     while (!ec && !parser.is_done())
     {
-        body.data = m_piece.data();
-        body.size = m_piece.size();
+        body.data = m_read_buffer.data();
+        body.size = m_read_buffer.size();
         const auto [read_ec, n] =
             co_await http::async_read_some(connection->socket, connection->buffer, parser, use_tuple);
         ec = read_ec == http::error::need_buffer ? error_code{} : read_ec;
-        take_piece({m_piece.data(), m_piece.size() - body.size});
-        if (streamed() && n > 0)
+        deliver_chunk({m_read_buffer.data(), m_read_buffer.size() - body.size});
+        if (is_streaming() && n > 0)
         {
             set_timer(connection);
         }
@@ -304,52 +305,53 @@
     co_return !ec;
 }
 
-bool http_transfer::streamed() const
+bool http_transfer::is_streaming() const
 {
-    return m_on_chunk && !m_foreign && m_reply.status / 100 == success_class;
+    return m_on_chunk && !m_response_mismatched && m_reply.status / 100 == status_class_success;
 }
 
-void http_transfer::take_piece(std::string_view piece)
+void http_transfer::deliver_chunk(std::string_view chunk)
 {
-    if (piece.empty())
+    if (chunk.empty())
     {
         return;
     }
-    if (streamed())
+    if (is_streaming())
     {
-        m_on_chunk(piece);
+        m_on_chunk(chunk);
     }
     else
     {
-        m_reply.body += piece;
+        m_reply.body += chunk;
     }
 }
 
 bool http_transfer::may_retry(const http_connection& connection) const
 {
-    const bool harmless_method = m_request.method == "GET" || m_request.method == "HEAD";
-    const bool harmless = m_bytes_written == 0 || m_request.idempotent.value_or(harmless_method);
-    return connection.reused && !m_answer_begun && harmless && !m_cancelled && !connection.timer.expired();
+    const bool safe_method = m_request.method == "GET" || m_request.method == "HEAD";
+    const bool repeatable = m_bytes_written == 0 || m_request.idempotent.value_or(safe_method);
+    return connection.reused && !m_response_started && repeatable && !m_cancelled &&
+           !connection.timer.expired();
 }
 
-std::chrono::milliseconds http_transfer::time_left() const
+std::chrono::milliseconds http_transfer::remaining_time() const
 {
     return std::chrono::ceil<std::chrono::milliseconds>(m_deadline - std::chrono::steady_clock::now());
 }
 
 void http_transfer::set_timer(const connection_ptr& connection) const
 {
-    set_timer(connection, streamed() ? m_request.timeout : time_left());
+    set_timer(connection, is_streaming() ? m_request.timeout : remaining_time());
 }
 
-void http_transfer::set_timer(const connection_ptr& connection, std::chrono::milliseconds bound) const
+void http_transfer::set_timer(const connection_ptr& connection, std::chrono::milliseconds delay) const
 {
-    connection->timer.set(bound,
+    connection->timer.set(delay,
                           [weak = std::weak_ptr{connection}]
                           {
-                              if (const auto late = weak.lock())
+                              if (const auto locked = weak.lock())
                               {
-                                  late->close();
+                                  locked->close();
                               }
                           });
 }
@@ -368,7 +370,7 @@
     const bool keep = m_reply.failure == http_failure::none && m_keep_alive && !m_cancelled;
     if (keep && connection->socket.is_open())
     {
-        m_pool->put(m_request.address, connection);
+        m_pool->release(m_request.address, connection);
     }
     else
     {
@@ -377,7 +379,7 @@
     const auto on_reply = std::exchange(m_on_reply, nullptr);
     m_on_chunk = nullptr;
     m_request.on_head = nullptr;
-    m_request.is_own_answer = nullptr;
+    m_request.is_matching_response = nullptr;
     on_reply(std::move(m_reply));
 }
 
--- a/src/net/http_transfer.hpp
+++ b/src/net/http_transfer.hpp
@@ -35,20 +35,20 @@
 
     using connection_ptr = std::shared_ptr<http_connection>;
 
-    void begin_on(const connection_ptr& connection);
+    void start_on(const connection_ptr& connection);
     boost::asio::awaitable<void> run(connection_ptr connection);
     boost::asio::awaitable<bool> connect(connection_ptr connection);
     boost::asio::awaitable<bool> exchange(connection_ptr connection);
     boost::asio::awaitable<bool> write_request(connection_ptr connection);
-    boost::asio::awaitable<bool> read_answer(connection_ptr connection);
+    boost::asio::awaitable<bool> read_response(connection_ptr connection);
     boost::asio::awaitable<bool> read_head(connection_ptr connection, reply_parser& parser);
     boost::asio::awaitable<bool> read_body(connection_ptr connection, reply_parser& parser);
-    [[nodiscard]] std::chrono::milliseconds time_left() const;
-    void take_piece(std::string_view piece);
+    [[nodiscard]] std::chrono::milliseconds remaining_time() const;
+    void deliver_chunk(std::string_view chunk);
 
     [[nodiscard]] bool may_retry(const http_connection& connection) const;
-    [[nodiscard]] bool streamed() const;
-    void set_timer(const connection_ptr& connection, std::chrono::milliseconds bound) const;
+    [[nodiscard]] bool is_streaming() const;
+    void set_timer(const connection_ptr& connection, std::chrono::milliseconds delay) const;
     void set_timer(const connection_ptr& connection) const;
     void fail(http_failure failure);
     void finish(const connection_ptr& connection);
@@ -60,12 +60,12 @@
     http_reply_callback m_on_reply;
     std::chrono::steady_clock::time_point m_deadline;
     http_client_reply m_reply;
-    std::array<char, std::size_t{16} * 1024> m_piece{};
+    std::array<char, std::size_t{16} * 1024> m_read_buffer{};
     std::size_t m_bytes_written = 0;
-    bool m_answer_begun = false;
+    bool m_response_started = false;
     bool m_keep_alive = false;
     /// The answer being read belongs to another request.
-    bool m_foreign = false;
+    bool m_response_mismatched = false;
 
     std::mutex m_mutex;
     /// Under @a m_mutex: the connection to close on cancelling. Its coroutine owns it, so that a handle kept
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -35,7 +35,7 @@
   public:
     peer_connection(asio::ip::tcp::socket socket, std::string remote, peer_link_limits limits)
         : m_socket(std::move(socket)), m_timer(m_socket.get_executor()),
-          m_unstarted(m_socket.get_executor(), asio::steady_timer::time_point::max()),
+          m_start_timer(m_socket.get_executor(), asio::steady_timer::time_point::max()),
           m_remote(std::move(remote)), m_limits(limits), m_decoder(limits.max_frame)
     {
     }
@@ -43,13 +43,13 @@
     void begin_connect(peer_link_callbacks callbacks, std::chrono::milliseconds timeout)
     {
         post([callbacks = std::move(callbacks), timeout](peer_connection& self) mutable
-             { self.connect_now(std::move(callbacks), timeout); });
+             { self.do_connect(std::move(callbacks), timeout); });
     }
 
     void start(peer_link_callbacks callbacks)
     {
         post([callbacks = std::move(callbacks)](peer_connection& self) mutable
-             { self.start_now(std::move(callbacks)); });
+             { self.do_start(std::move(callbacks)); });
     }
 
     void send(std::string frame)
@@ -69,9 +69,9 @@
     }
 
     /// Keeps an accepted connection until it is started.
-    void wait_for_start()
+    void hold_until_started()
     {
-        m_unstarted.async_wait([self = shared_from_this()](error_code) {});
+        m_start_timer.async_wait([self = shared_from_this()](error_code) {});
     }
 
     void close()
@@ -92,7 +92,7 @@
                    [self = shared_from_this(), action = std::move(action)]() mutable { action(*self); });
     }
 
-    void connect_now(peer_link_callbacks callbacks, std::chrono::milliseconds timeout)
+    void do_connect(peer_link_callbacks callbacks, std::chrono::milliseconds timeout)
     {
         m_callbacks = std::move(callbacks);
         const auto endpoint = detail::parse_endpoint(m_remote);
@@ -110,10 +110,10 @@
                         }
                     });
         m_socket.async_connect(*endpoint,
-                               [self = shared_from_this()](error_code ec) { self->connected(ec); });
+                               [self = shared_from_this()](error_code ec) { self->on_connected(ec); });
     }
 
-    void connected(error_code ec)
+    void on_connected(error_code ec)
     {
         if (m_closed)
         {
@@ -130,7 +130,7 @@
         open();
     }
 
-    void start_now(peer_link_callbacks callbacks)
+    void do_start(peer_link_callbacks callbacks)
     {
         if (m_open)
         {
@@ -139,7 +139,7 @@
         m_callbacks = std::move(callbacks);
         if (m_closed)
         {
-            report_closed();
+            notify_closed();
             return;
         }
         open();
@@ -148,7 +148,7 @@
     void open()
     {
         m_open = true;
-        m_unstarted.cancel();
+        m_start_timer.cancel();
         if (m_callbacks.on_open)
         {
             m_callbacks.on_open();
@@ -159,12 +159,12 @@
 
     void read()
     {
-        m_socket.async_read_some(asio::buffer(m_input),
+        m_socket.async_read_some(asio::buffer(m_read_buffer),
                                  [self = shared_from_this()](error_code ec, std::size_t n)
-                                 { self->take_input(ec, n); });
+                                 { self->on_read(ec, n); });
     }
 
-    void take_input(error_code ec, std::size_t n)
+    void on_read(error_code ec, std::size_t n)
     {
         if (m_closed)
         {
@@ -172,11 +172,11 @@
         }
         if (ec)
         {
-            const bool torn = ec == asio::error::eof && m_decoder.torn();
-            fail(torn ? "closed by the other end in the middle of a frame" : ec.message());
+            const bool truncated = ec == asio::error::eof && m_decoder.has_partial_frame();
+            fail(truncated ? "closed by the other end in the middle of a frame" : ec.message());
             return;
         }
-        if (!m_decoder.feed({m_input.data(), n}, m_callbacks.on_frame))
+        if (!m_decoder.feed({m_read_buffer.data(), n}, m_callbacks.on_frame))
         {
             fail("frame received is over the limit");
             return;
@@ -214,10 +214,10 @@
         }
         asio::async_write(m_socket, buffers,
                           [self = shared_from_this()](error_code ec, std::size_t n)
-                          { self->written(ec, n); });
+                          { self->on_written(ec, n); });
     }
 
-    void written(error_code ec, std::size_t n)
+    void on_written(error_code ec, std::size_t n)
     {
         m_sending.clear();
         m_queued -= n;
@@ -241,15 +241,15 @@
         }
         m_reason = std::move(reason);
         m_timer.clear();
-        m_unstarted.cancel();
+        m_start_timer.cancel();
         error_code ignored;
         m_socket.close(ignored);
         m_queue.clear();
-        report_closed();
+        notify_closed();
     }
 
     /// The callbacks go, so that what they own is freed.
-    void report_closed()
+    void notify_closed()
     {
         const auto callbacks = std::exchange(m_callbacks, {});
         if (callbacks.on_closed)
@@ -261,12 +261,12 @@
     asio::ip::tcp::socket m_socket;
     detail::deadline m_timer;
     /// Never expires; cancelled when the connection is started or closed.
-    asio::steady_timer m_unstarted;
+    asio::steady_timer m_start_timer;
     std::string m_remote;
     peer_link_limits m_limits;
     peer_link_callbacks m_callbacks;
     frame_decoder m_decoder;
-    std::array<char, read_size> m_input{};
+    std::array<char, read_size> m_read_buffer{};
     std::vector<std::string> m_queue;
     std::vector<std::string> m_sending;
     std::vector<frame_header> m_headers;
@@ -334,7 +334,7 @@
     std::atomic<bool> m_started;
 };
 
-std::string remote_of(const asio::ip::tcp::socket& socket)
+std::string remote_address_of(const asio::ip::tcp::socket& socket)
 {
     error_code ec;
     const auto endpoint = socket.remote_endpoint(ec);
@@ -363,10 +363,10 @@
         : tcp_acceptor(context, address,
                        [on_link = std::move(on_link), limits](asio::ip::tcp::socket socket)
                        {
-                           auto remote = remote_of(socket);
+                           auto remote = remote_address_of(socket);
                            const auto connection = std::make_shared<peer_connection>(
                                std::move(socket), std::move(remote), limits);
-                           connection->wait_for_start();
+                           connection->hold_until_started();
                            on_link(std::make_shared<tcp_peer_link>(connection, false));
                        })
     {
--- a/src/net/percent.cpp
+++ b/src/net/percent.cpp
@@ -12,11 +12,11 @@
 constexpr std::size_t escape_size = 3;
 constexpr int hex_base = 16;
 
-bool unreserved(char c)
+bool is_unreserved(char c)
 {
-    constexpr std::string_view marks = "-._~";
+    constexpr std::string_view unreserved_marks = "-._~";
     return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
-           marks.find(c) != std::string_view::npos;
+           unreserved_marks.find(c) != std::string_view::npos;
 }
 
 std::string escape(char c)
@@ -31,8 +31,8 @@
     unsigned char byte = 0;
     const auto* const end = digits.data() + digits.size();
     const auto [it, ec] = std::from_chars(digits.data(), end, byte, hex_base);
-    const bool whole = digits.size() == escape_size - 1 && ec == std::errc{} && it == end;
-    return whole ? std::optional{static_cast<char>(byte)} : std::nullopt;
+    const bool valid = digits.size() == escape_size - 1 && ec == std::errc{} && it == end;
+    return valid ? std::optional{static_cast<char>(byte)} : std::nullopt;
 }
 
 } // namespace
@@ -41,7 +41,7 @@
 {
     std::string out;
     out.reserve(text.size());
-    std::ranges::for_each(text, [&out](char c) { out += unreserved(c) ? std::string{c} : escape(c); });
+    std::ranges::for_each(text, [&out](char c) { out += is_unreserved(c) ? std::string{c} : escape(c); });
     return out;
 }
 
@@ -65,10 +65,10 @@
 
 target_parts split_target(std::string_view target)
 {
-    const auto mark = target.find('?');
-    const bool has_query = mark != std::string_view::npos;
-    return {.path = target.substr(0, mark),
-            .query = has_query ? target.substr(mark + 1) : std::string_view{}};
+    const auto separator = target.find('?');
+    const bool has_query = separator != std::string_view::npos;
+    return {.path = target.substr(0, separator),
+            .query = has_query ? target.substr(separator + 1) : std::string_view{}};
 }
 
 std::optional<std::string> query_value(std::string_view query, std::string_view name)
--- a/src/net/rpc_http.cpp
+++ b/src/net/rpc_http.cpp
@@ -20,20 +20,20 @@
 {
     boost::asio::io_context context;
     http_client client(context);
-    http_client_reply answer;
+    http_client_reply result;
     client.send(std::move(request),
                 [&](http_client_reply reply)
                 {
-                    answer = std::move(reply);
+                    result = std::move(reply);
                     context.stop();
                 });
     context.run();
-    return answer;
+    return result;
 }
 
 } // namespace
 
-http_response answer_rpc(rpc_server& server, const http_request& request)
+http_response handle_rpc_request(rpc_server& server, const http_request& request)
 {
     if (request.method != "POST")
     {
--- a/src/net/sse.cpp
+++ b/src/net/sse.cpp
@@ -11,7 +11,7 @@
 constexpr std::string_view byte_order_mark = "\xEF\xBB\xBF";
 
 /// Takes the first line off @a text; line ends are CR, LF or both.
-std::string_view take_first_line(std::string_view& text)
+std::string_view extract_line(std::string_view& text)
 {
     const auto end = text.find_first_of("\r\n");
     const auto line = text.substr(0, end);
@@ -20,20 +20,20 @@
         text = {};
         return line;
     }
-    const bool pair = text.substr(end, 2) == "\r\n";
-    text.remove_prefix(end + (pair ? 2 : 1));
+    const bool crlf = text.substr(end, 2) == "\r\n";
+    text.remove_prefix(end + (crlf ? 2 : 1));
     return line;
 }
 
 void append_lines(std::string& out, std::string_view field, std::string_view text)
 {
     // A line break at the end is one more, empty line.
-    const bool open_end = text.empty() || text.back() == '\n' || text.back() == '\r';
+    const bool ends_with_line_break = text.empty() || text.back() == '\n' || text.back() == '\r';
     while (!text.empty())
     {
-        out.append(field).append(take_first_line(text)).append("\n");
+        out.append(field).append(extract_line(text)).append("\n");
     }
-    if (open_end)
+    if (ends_with_line_break)
     {
         out.append(field).append("\n");
     }
@@ -70,7 +70,7 @@
 {
     while (!bytes.empty() && !m_overflow)
     {
-        if (std::exchange(m_after_return, false) && bytes.front() == '\n')
+        if (std::exchange(m_after_cr, false) && bytes.front() == '\n')
         {
             bytes.remove_prefix(1);
             continue;
@@ -87,16 +87,16 @@
         {
             break;
         }
-        m_after_return = bytes[end] == '\r';
+        m_after_cr = bytes[end] == '\r';
         bytes.remove_prefix(end + 1);
-        take_line(std::exchange(m_line, {}));
+        process_line(std::exchange(m_line, {}));
     }
     return !m_overflow;
 }
 
-void sse_parser::take_line(std::string_view line)
+void sse_parser::process_line(std::string_view line)
 {
-    if (std::exchange(m_at_start, false) && line.starts_with(byte_order_mark))
+    if (std::exchange(m_at_stream_start, false) && line.starts_with(byte_order_mark))
     {
         line.remove_prefix(byte_order_mark.size());
     }
@@ -108,7 +108,7 @@
     const auto colon = line.find(':');
     if (colon == std::string_view::npos)
     {
-        take_field(line, {});
+        process_field(line, {});
         return;
     }
     auto value = line.substr(colon + 1);
@@ -116,10 +116,10 @@
     {
         value.remove_prefix(1);
     }
-    take_field(line.substr(0, colon), value);
+    process_field(line.substr(0, colon), value);
 }
 
-void sse_parser::take_field(std::string_view name, std::string_view value)
+void sse_parser::process_field(std::string_view name, std::string_view value)
 {
     // Lines without a name are comments; fields of other names are skipped.
     if (name == "data")
--- a/src/net/tcp_acceptor.cpp
+++ b/src/net/tcp_acceptor.cpp
@@ -22,7 +22,7 @@
 using boost::system::error_code;
 
 /// How long to wait before accepting again when the process is out of descriptors.
-constexpr std::chrono::milliseconds accept_pause{20};
+constexpr std::chrono::milliseconds accept_retry_delay{20};
 
 } // namespace
 
@@ -38,12 +38,12 @@
         m_strand, [self = shared_from_this()] { return self->run(); }, asio::detached);
 }
 
-void tcp_acceptor::finish(std::function<void()> on_done)
+void tcp_acceptor::drain_and_close(std::function<void()> on_done)
 {
     asio::post(m_strand,
                [self = shared_from_this(), on_done = std::move(on_done)]
                {
-                   self->take_waiting();
+                   self->accept_pending();
                    self->close_now();
                    on_done();
                });
@@ -66,24 +66,24 @@
         auto [ec, socket] = co_await m_acceptor.async_accept(asio::make_strand(m_context), use_tuple);
         if (!ec)
         {
-            take(std::move(socket));
+            handle_socket(std::move(socket));
         }
         else if (ec != asio::error::operation_aborted)
         {
-            asio::steady_timer pause(m_strand, accept_pause);
-            co_await pause.async_wait(use_tuple);
+            asio::steady_timer retry_timer(m_strand, accept_retry_delay);
+            co_await retry_timer.async_wait(use_tuple);
         }
     }
 }
 
-void tcp_acceptor::take(asio::ip::tcp::socket socket)
+void tcp_acceptor::handle_socket(asio::ip::tcp::socket socket)
 {
     error_code ignored;
     socket.set_option(asio::ip::tcp::no_delay(true), ignored);
     m_on_socket(std::move(socket));
 }
 
-void tcp_acceptor::take_waiting()
+void tcp_acceptor::accept_pending()
 {
     error_code ec;
     m_acceptor.non_blocking(true, ec);
@@ -93,7 +93,7 @@
         m_acceptor.accept(socket, ec);
         if (!ec)
         {
-            take(std::move(socket));
+            handle_socket(std::move(socket));
         }
     }
 }
--- a/src/net/tcp_acceptor.hpp
+++ b/src/net/tcp_acceptor.hpp
@@ -29,7 +29,7 @@
     /// Takes the connections that the system has accepted already (closing would reset them), and closes.
     /// Thread-safe.
     /// @param on_done runs on the acceptor's strand afterwards
-    void finish(std::function<void()> on_done);
+    void drain_and_close(std::function<void()> on_done);
 
     /// Closes at once. Thread-safe.
     void close();
@@ -38,8 +38,8 @@
 
   private:
     boost::asio::awaitable<void> run();
-    void take(boost::asio::ip::tcp::socket socket);
-    void take_waiting();
+    void handle_socket(boost::asio::ip::tcp::socket socket);
+    void accept_pending();
     void close_now();
 
     boost::asio::io_context& m_context;
--- a/tests/unit/net_fixture.hpp
+++ b/tests/unit/net_fixture.hpp
@@ -26,7 +26,7 @@
 {
 
 /// Long enough never to be reached on any machine; tests wait on conditions, not on times.
-constexpr std::chrono::seconds patience{60};
+constexpr std::chrono::seconds test_timeout{60};
 
 /// An I/O context with threads that run it.
 class io_threads
@@ -68,14 +68,14 @@
 
 /// A value that callbacks change and tests wait on.
 template <typename T>
-class watched
+class synchronized_value
 {
   public:
-    template <typename Change>
-    void change(Change change)
+    template <typename Update>
+    void update(Update update)
     {
         const std::scoped_lock lock(m_mutex);
-        change(m_value);
+        update(m_value);
         m_changed.notify_all();
     }
 
@@ -84,7 +84,7 @@
     [[nodiscard]] bool wait(Condition condition)
     {
         std::unique_lock lock(m_mutex);
-        return m_changed.wait_for(lock, patience, [&] { return condition(m_value); });
+        return m_changed.wait_for(lock, test_timeout, [&] { return condition(m_value); });
     }
 
     [[nodiscard]] T get()
@@ -103,7 +103,7 @@
 template <typename Condition>
 [[nodiscard]] bool eventually(Condition condition)
 {
-    const auto end = std::chrono::steady_clock::now() + patience;
+    const auto end = std::chrono::steady_clock::now() + test_timeout;
     while (!condition() && std::chrono::steady_clock::now() < end)
     {
         std::this_thread::sleep_for(std::chrono::milliseconds{1});
@@ -136,11 +136,11 @@
     }
 
     /// @return all that came until @a mark, and it
-    [[nodiscard]] std::string read_to(const std::string& mark)
+    [[nodiscard]] std::string read_until_text(const std::string& delimiter)
     {
         std::string text;
         boost::system::error_code ec;
-        while (!ec && text.find(mark) == std::string::npos)
+        while (!ec && text.find(delimiter) == std::string::npos)
         {
             boost::asio::read(m_socket, boost::asio::dynamic_buffer(text), boost::asio::transfer_exactly(1),
                               ec);
--- a/tests/unit/test_fuzz_net.cpp
+++ b/tests/unit/test_fuzz_net.cpp
@@ -17,7 +17,7 @@
 
 using pieces = std::vector<std::string>;
 
-std::string joined(const pieces& parts)
+std::string concatenate(const pieces& parts)
 {
     std::string all;
     std::ranges::for_each(parts, [&all](const auto& it) { all += it; });
@@ -26,28 +26,28 @@
 
 /// What a parser made of some bytes.
 template <typename Item>
-struct parsed
+struct parse_result
 {
     std::vector<Item> items;
     bool ok = true;
 
-    friend bool operator==(const parsed&, const parsed&) = default;
+    friend bool operator==(const parse_result&, const parse_result&) = default;
 };
 
-parsed<sse_event> parse_events(const pieces& parts, std::size_t max_event)
+parse_result<sse_event> parse_events(const pieces& parts, std::size_t max_event)
 {
-    parsed<sse_event> result;
+    parse_result<sse_event> result;
     sse_parser parser([&result](sse_event it) { result.items.push_back(std::move(it)); }, max_event);
     std::ranges::for_each(parts, [&](const auto& it) { result.ok = parser.feed(it); });
     return result;
 }
 
-parsed<std::string> decode_frames(const pieces& parts, std::size_t max_frame)
+parse_result<std::string> decode_frames(const pieces& parts, std::size_t max_frame)
 {
-    parsed<std::string> result;
+    parse_result<std::string> result;
     frame_decoder decoder(max_frame);
-    const auto take = [&result](std::string it) { result.items.push_back(std::move(it)); };
-    std::ranges::for_each(parts, [&](const auto& it) { result.ok = decoder.feed(it, take); });
+    const auto on_frame = [&result](std::string it) { result.items.push_back(std::move(it)); };
+    std::ranges::for_each(parts, [&](const auto& it) { result.ok = decoder.feed(it, on_frame); });
     return result;
 }
 
@@ -58,10 +58,10 @@
         rc::gen::container<pieces>(rc::gen::oneOf(
             rc::gen::element<std::string>("data: ", "data:", "id: ", "event: ", ":", "\n", "\r", "\r\n", "x"),
             rc::gen::arbitrary<std::string>())),
-        joined);
+        concatenate);
 }
 
-std::string framed(const pieces& payloads)
+std::string encode_frames(const pieces& payloads)
 {
     std::string bytes;
     for (const auto& it : payloads)
@@ -81,7 +81,7 @@
         {
             const auto parts = *rc::gen::container<pieces>(sse_text());
             constexpr std::size_t no_limit = 1'000'000;
-            RC_ASSERT(parse_events(parts, no_limit) == parse_events({joined(parts)}, no_limit));
+            RC_ASSERT(parse_events(parts, no_limit) == parse_events({concatenate(parts)}, no_limit));
         }));
 }
 
@@ -117,9 +117,9 @@
     CHECK(rc::check(
         [](const pieces& payloads)
         {
-            const auto bytes = framed(payloads);
+            const auto bytes = encode_frames(payloads);
             const auto cut = *rc::gen::inRange<std::size_t>(0, bytes.size() + 1);
-            const parsed<std::string> expected{payloads};
+            const parse_result<std::string> expected{payloads};
             RC_ASSERT(decode_frames({bytes.substr(0, cut), bytes.substr(cut)}, 1000) == expected);
         }));
 }
@@ -133,7 +133,7 @@
             const auto parts = *rc::gen::arbitrary<pieces>();
             const auto result = decode_frames(parts, limit);
             RC_ASSERT(std::ranges::all_of(result.items, [=](const auto& it) { return it.size() <= limit; }));
-            RC_ASSERT(result == decode_frames({joined(parts)}, limit));
+            RC_ASSERT(result == decode_frames({concatenate(parts)}, limit));
         }));
 }
 
--- a/tests/unit/test_http.cpp
+++ b/tests/unit/test_http.cpp
@@ -58,20 +58,20 @@
 };
 
 /// The exchanges that a handler kept to answer later.
-struct kept_exchanges
+struct deferred_exchanges
 {
-    watched<std::vector<std::shared_ptr<http_exchange>>> kept;
+    synchronized_value<std::vector<std::shared_ptr<http_exchange>>> received;
 
     [[nodiscard]] http_handler handler()
     {
         return [this](const http_request&, const std::shared_ptr<http_exchange>& exchange)
-        { kept.change([&](auto& all) { all.push_back(exchange); }); };
+        { received.update([&](auto& all) { all.push_back(exchange); }); };
     }
 
     [[nodiscard]] std::shared_ptr<http_exchange> at(std::size_t index)
     {
-        REQUIRE(kept.wait([=](const auto& all) { return all.size() > index; }));
-        return kept.get().at(index);
+        REQUIRE(received.wait([=](const auto& all) { return all.size() > index; }));
+        return received.get().at(index);
     }
 };
 
@@ -84,14 +84,14 @@
 
 struct stream_reader
 {
-    watched<stream_state> state;
+    synchronized_value<stream_state> state;
 
     std::shared_ptr<http_stream> open(http_client& client, const std::string& address)
     {
         return client.open_stream(
             {.address = address},
-            [this](std::string_view chunk) { state.change([&](auto& it) { it.text += chunk; }); },
-            [this](const http_client_reply& reply) { state.change([&](auto& it) { it.end = reply; }); });
+            [this](std::string_view chunk) { state.update([&](auto& it) { it.text += chunk; }); },
+            [this](const http_client_reply& reply) { state.update([&](auto& it) { it.end = reply; }); });
     }
 
     [[nodiscard]] bool wait_for_text(const std::string& text)
@@ -107,11 +107,11 @@
 };
 
 /// Answers each request but the second, at which it closes the connection after having read it.
-class forgetful_server
+class connection_dropping_server
 {
   public:
     /// @param connections how many it takes before it ends
-    explicit forgetful_server(int connections)
+    explicit connection_dropping_server(int connections)
         : m_acceptor(m_context, {boost::asio::ip::address_v4::loopback(), 0}),
           m_thread([this, connections] { serve(connections); })
     {
@@ -135,13 +135,13 @@
         for (int it = 0; it < connections; ++it)
         {
             auto socket = m_acceptor.accept();
-            while (answer(socket))
+            while (respond_once(socket))
             {
             }
         }
     }
 
-    bool answer(boost::asio::ip::tcp::socket& socket)
+    bool respond_once(boost::asio::ip::tcp::socket& socket)
     {
         std::string request;
         boost::system::error_code ec;
@@ -195,16 +195,16 @@
     SUBCASE("many requests at once each get their own answer")
     {
         constexpr int count = 400;
-        watched<int> right;
+        synchronized_value<int> correct;
         for (int n = 0; n < count; ++n)
         {
             const auto text = std::to_string(n);
-            it.client.send({.address = it.address(), .method = "POST", .target = "/", .body = text},
-                           [&right, text](const http_client_reply& reply) {
-                               right.change([&](int& sum) { sum += reply.body == "POST / " + text ? 1 : 0; });
-                           });
+            it.client.send(
+                {.address = it.address(), .method = "POST", .target = "/", .body = text},
+                [&correct, text](const http_client_reply& reply)
+                { correct.update([&](int& sum) { sum += reply.body == "POST / " + text ? 1 : 0; }); });
         }
-        CHECK(right.wait([](int sum) { return sum == count; }));
+        CHECK(correct.wait([](int sum) { return sum == count; }));
         CHECK(eventually([&] { return it.server.open_exchanges() == 0; }));
     }
 }
@@ -214,8 +214,8 @@
     http_fixture it;
     raw_socket socket(it.server.port());
     socket.write("GET /1 HTTP/1.1\r\nHost: a\r\n\r\nGET /2 HTTP/1.1\r\nHost: a\r\n\r\n");
-    CHECK(socket.read_to("GET /1 ").starts_with("HTTP/1.1 200 OK"));
-    CHECK(socket.read_to("GET /2 ").starts_with("HTTP/1.1 200 OK"));
+    CHECK(socket.read_until_text("GET /1 ").starts_with("HTTP/1.1 200 OK"));
+    CHECK(socket.read_until_text("GET /2 ").starts_with("HTTP/1.1 200 OK"));
     socket.write("GET /3 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
     CHECK(socket.read_all().ends_with("GET /3 "));
 }
@@ -224,7 +224,7 @@
 {
     struct row
     {
-        const char* what;
+        const char* description;
         std::string bytes;
         const char* status;
     };
@@ -244,7 +244,7 @@
     http_fixture it(small_limits());
     for (const auto& row : table)
     {
-        CAPTURE(row.what);
+        CAPTURE(row.description);
         raw_socket socket(it.server.port());
         socket.write(row.bytes);
         const auto answer = socket.read_all();
@@ -260,21 +260,21 @@
     http_fixture it(small_limits());
     raw_socket socket(it.server.port());
     socket.write("POST / HTTP/1.1\r\nContent-Length: 1000\r\nExpect: 100-continue\r\n\r\n");
-    CHECK(socket.read_to("\r\n\r\n") == "HTTP/1.1 100 Continue\r\n\r\n");
+    CHECK(socket.read_until_text("\r\n\r\n") == "HTTP/1.1 100 Continue\r\n\r\n");
     const std::string body(small_body, 'x');
     socket.write(body);
-    CHECK(socket.read_to("POST / " + body).starts_with("HTTP/1.1 200 OK"));
+    CHECK(socket.read_until_text("POST / " + body).starts_with("HTTP/1.1 200 OK"));
 }
 
 TEST_CASE("http: half a request times out; the server says so")
 {
-    const std::array halves{"GET / HT", "POST / HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"};
-    for (const auto* half : halves)
+    const std::array partial_requests{"GET / HT", "POST / HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"};
+    for (const auto* partial : partial_requests)
     {
-        CAPTURE(half);
+        CAPTURE(partial);
         http_fixture it({.read_timeout = std::chrono::milliseconds{20}});
         raw_socket socket(it.server.port());
-        socket.write(half);
+        socket.write(partial);
         const auto answer = socket.read_all();
         CHECK(answer.starts_with("HTTP/1.1 408"));
         CHECK(answer.find(R"("ran":"no")") != std::string::npos);
@@ -293,9 +293,9 @@
     http_fixture it({.max_connections = 1});
     raw_socket first(it.server.port());
     first.write("GET / HTTP/1.1\r\n\r\n");
-    CHECK(first.read_to("GET / ").starts_with("HTTP/1.1 200"));
+    CHECK(first.read_until_text("GET / ").starts_with("HTTP/1.1 200"));
     raw_socket second(it.server.port());
-    CHECK(second.read_to("}").starts_with("HTTP/1.1 503"));
+    CHECK(second.read_until_text("}").starts_with("HTTP/1.1 503"));
 }
 
 TEST_CASE("http: a handler that throws leaves the outcome unknown")
@@ -315,7 +315,7 @@
 
 TEST_CASE("http: streams")
 {
-    kept_exchanges exchanges;
+    deferred_exchanges exchanges;
     http_fixture it({}, exchanges.handler());
     stream_reader reader;
     const auto stream = reader.open(it.client, it.address());
@@ -337,8 +337,8 @@
     }
     SUBCASE("cancelled by the client: the server hears of it, and the client gets its end")
     {
-        watched<bool> closed;
-        exchange->on_closed([&] { closed.change([](bool& value) { value = true; }); });
+        synchronized_value<bool> closed;
+        exchange->on_closed([&] { closed.update([](bool& value) { value = true; }); });
         stream->cancel();
         CHECK(reader.wait_for_end().failure == http_failure::broken);
         CHECK(closed.wait([](bool value) { return value; }));
@@ -347,24 +347,24 @@
     {
         stream->cancel();
         CHECK(reader.wait_for_end().failure == http_failure::broken);
-        watched<bool> closed;
-        exchange->on_closed([&] { closed.change([](bool& value) { value = true; }); });
+        synchronized_value<bool> closed;
+        exchange->on_closed([&] { closed.update([](bool& value) { value = true; }); });
         CHECK(closed.wait([](bool value) { return value; }));
     }
     SUBCASE("one that is cut off is not taken for whole")
     {
-        exchanges.kept.change([](auto& all) { all.clear(); });
+        exchanges.received.update([](auto& all) { all.clear(); });
         exchange.reset();
         CHECK(reader.wait_for_end().failure == http_failure::broken);
     }
     SUBCASE("a reader that is too slow is cut off")
     {
         // Nobody reads on this connection, so that the server's backlog must overflow.
-        raw_socket slow(it.server.port());
-        slow.write("GET / HTTP/1.1\r\n\r\n");
+        raw_socket non_reading(it.server.port());
+        non_reading.write("GET / HTTP/1.1\r\n\r\n");
         const auto second = exchanges.at(1);
-        watched<bool> closed;
-        second->on_closed([&] { closed.change([](bool& value) { value = true; }); });
+        synchronized_value<bool> closed;
+        second->on_closed([&] { closed.update([](bool& value) { value = true; }); });
         second->begin_stream(200, {});
         for (int n = 0; n < 40; ++n)
         {
@@ -388,12 +388,12 @@
 
 TEST_CASE("http: stopping finishes what is under way")
 {
-    kept_exchanges exchanges;
+    deferred_exchanges exchanges;
     http_fixture it({.stop_grace = std::chrono::milliseconds{1}}, exchanges.handler());
     raw_socket idle(it.server.port());
-    watched<std::optional<http_client_reply>> reply;
-    it.client.send({.address = it.address(), .method = "POST"},
-                   [&](const http_client_reply& got) { reply.change([&](auto& value) { value = got; }); });
+    synchronized_value<std::optional<http_client_reply>> reply;
+    it.client.send({.address = it.address(), .method = "POST"}, [&](const http_client_reply& result)
+                   { reply.update([&](auto& value) { value = result; }); });
     const auto exchange = exchanges.at(0);
     CHECK(it.server.open_exchanges() == 1);
     it.server.stop_accepting();
@@ -430,7 +430,7 @@
     }
     SUBCASE("no answer in time")
     {
-        kept_exchanges exchanges;
+        deferred_exchanges exchanges;
         http_fixture it({}, exchanges.handler());
         const auto reply =
             fetch(it.client, {.address = it.address(), .timeout = std::chrono::milliseconds{30}});
@@ -451,7 +451,7 @@
     for (const auto& it : table)
     {
         CAPTURE(it.method);
-        forgetful_server server(it.requests - 1);
+        connection_dropping_server server(it.requests - 1);
         {
             io_threads threads;
             http_client client(threads.context());
@@ -494,9 +494,9 @@
                             boost::asio::write(socket, boost::asio::buffer(answers));
                         }};
     http_client client{threads.context()};
-    const auto reply = fetch(
-        client, {.address = loopback(acceptor.local_endpoint().port()),
-                 .is_own_answer = [](const http_client_reply& it) { return it.header("Id") == "own"; }});
+    const auto reply = fetch(client, {.address = loopback(acceptor.local_endpoint().port()),
+                                      .is_matching_response = [](const http_client_reply& it)
+                                      { return it.header("Id") == "own"; }});
     CHECK(reply.failure == http_failure::none);
     CHECK(reply.body == "own");
     threads.stop();
--- a/tests/unit/test_peer_link.cpp
+++ b/tests/unit/test_peer_link.cpp
@@ -20,23 +20,23 @@
 struct link_events
 {
     std::vector<std::string> frames;
-    std::vector<std::string> closed;
-    int opened = 0;
+    std::vector<std::string> close_reasons;
+    int open_count = 0;
 };
 
 /// One end of a link and what it has been told.
 struct link_end
 {
-    watched<link_events> events;
-    watched<std::shared_ptr<peer_link>> link;
+    synchronized_value<link_events> events;
+    synchronized_value<std::shared_ptr<peer_link>> link;
 
     [[nodiscard]] peer_link_callbacks callbacks()
     {
         return {.on_frame = [this](const std::string& frame)
-                { events.change([&](auto& it) { it.frames.push_back(frame); }); },
+                { events.update([&](auto& it) { it.frames.push_back(frame); }); },
                 .on_closed = [this](const std::string& reason)
-                { events.change([&](auto& it) { it.closed.push_back(reason); }); },
-                .on_open = [this] { events.change([](auto& it) { ++it.opened; }); }};
+                { events.update([&](auto& it) { it.close_reasons.push_back(reason); }); },
+                .on_open = [this] { events.update([](auto& it) { ++it.open_count; }); }};
     }
 
     [[nodiscard]] bool wait_for_frames(const std::vector<std::string>& frames)
@@ -46,8 +46,8 @@
 
     [[nodiscard]] std::string wait_for_close()
     {
-        REQUIRE(events.wait([](const auto& it) { return !it.closed.empty(); }));
-        return events.get().closed.front();
+        REQUIRE(events.wait([](const auto& it) { return !it.close_reasons.empty(); }));
+        return events.get().close_reasons.front();
     }
 };
 
@@ -60,7 +60,7 @@
               [this](const std::shared_ptr<peer_link>& link)
               {
                   link->start(server.callbacks());
-                  server.link.change([&](auto& it) { it = link; });
+                  server.link.update([&](auto& it) { it = link; });
               },
               limits)
     {
@@ -80,7 +80,7 @@
                                   connect_timeout, limits);
     }
 
-    [[nodiscard]] std::shared_ptr<peer_link> accepted()
+    [[nodiscard]] std::shared_ptr<peer_link> accepted_link()
     {
         REQUIRE(server.link.wait([](const auto& it) { return it != nullptr; }));
         return server.link.get();
@@ -101,16 +101,16 @@
     const std::vector<std::string> frames{"first", "", std::string(1'000'000, 'x'), std::string("\0\n", 2)};
     std::ranges::for_each(frames, [&](const auto& frame) { link->send(frame); });
     CHECK(it.server.wait_for_frames(frames));
-    std::ranges::for_each(frames, [&](const auto& frame) { it.accepted()->send(frame); });
+    std::ranges::for_each(frames, [&](const auto& frame) { it.accepted_link()->send(frame); });
     CHECK(it.client.wait_for_frames(frames));
-    CHECK(it.client.events.get().opened == 1);
-    CHECK(it.server.events.get().opened == 1);
+    CHECK(it.client.events.get().open_count == 1);
+    CHECK(it.server.events.get().open_count == 1);
 }
 
 TEST_CASE("peer_link: many threads may send")
 {
     constexpr std::size_t senders = 4;
-    constexpr std::size_t each = 500;
+    constexpr std::size_t frames_per_sender = 500;
     link_fixture it;
     const auto link = it.connect();
     std::vector<std::jthread> threads;
@@ -119,18 +119,19 @@
         threads.emplace_back(
             [&link, sender]
             {
-                for (std::size_t n = 0; n < each; ++n)
+                for (std::size_t n = 0; n < frames_per_sender; ++n)
                 {
                     link->send(std::to_string(sender) + std::to_string(n));
                 }
             });
     }
     threads.clear();
-    REQUIRE(it.server.events.wait([](const auto& events) { return events.frames.size() == senders * each; }));
+    REQUIRE(it.server.events.wait([](const auto& events)
+                                  { return events.frames.size() == senders * frames_per_sender; }));
     auto frames = it.server.events.get().frames;
     std::erase_if(frames, [](const auto& frame) { return frame.front() != '2'; });
     std::vector<std::string> expected;
-    for (std::size_t n = 0; n < each; ++n)
+    for (std::size_t n = 0; n < frames_per_sender; ++n)
     {
         expected.push_back("2" + std::to_string(n));
     }
@@ -197,12 +198,12 @@
         CHECK(it.client.wait_for_close().find("this end") != std::string::npos);
         CHECK_FALSE(it.server.wait_for_close().empty());
         link->send("late");
-        CHECK(it.client.events.get().closed.size() == 1);
+        CHECK(it.client.events.get().close_reasons.size() == 1);
     }
     SUBCASE("the accepting end may close")
     {
-        CHECK(it.accepted()->remote_address().starts_with("127.0.0.1:"));
-        it.accepted()->close();
+        CHECK(it.accepted_link()->remote_address().starts_with("127.0.0.1:"));
+        it.accepted_link()->close();
         CHECK_FALSE(it.client.wait_for_close().empty());
     }
 }
@@ -216,7 +217,7 @@
         const auto link = peer_link::connect(threads.context(), address, end.callbacks(), connect_timeout);
         link->send("waits");
         CHECK_FALSE(end.wait_for_close().empty());
-        CHECK(end.events.get().opened == 0);
+        CHECK(end.events.get().open_count == 0);
         threads.stop();
     }
 }
--- a/tests/unit/test_platform_codec.cpp
+++ b/tests/unit/test_platform_codec.cpp
@@ -432,7 +432,7 @@
         const auto decoded = decode_target(make_row("i-1", text));
         const auto* const target = std::get_if<gateway::target_record>(&decoded);
         const bool is_target_valid = target == nullptr || (target->id.value == "i-1" && target->slots > 0 &&
-                                                           is_client_address(target->address));
+                                                           is_valid_endpoint(target->address));
         std::string config = good_config;
         std::ranges::for_each(changes, [&config](const auto& it)
                               { config[it.first * 3U % config.size()] = static_cast<char>(it.second); });
--- a/tests/unit/test_rpc.cpp
+++ b/tests/unit/test_rpc.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-constexpr int own_error = 401;
+constexpr int custom_error_id = 401;
 
 /// A server with one method of each kind.
 struct rpc_fixture
@@ -19,8 +19,8 @@
     rpc_fixture()
     {
         server.add_method("echo", [](const std::string& params) { return params; });
-        server.add_method("refuse",
-                          [](const std::string&) -> std::string { throw rpc_error(own_error, "no home"); });
+        server.add_method(
+            "refuse", [](const std::string&) -> std::string { throw rpc_error(custom_error_id, "no home"); });
         server.add_method("fault",
                           [](const std::string&) -> std::string { throw std::runtime_error("fault"); });
         server.add_method("garbage", [](const std::string&) -> std::string { return "{"; });
@@ -32,7 +32,7 @@
 
 /// @return the id of the error that @a call throws, or 0
 template <typename Call>
-int error_of(Call call)
+int error_id_of(Call call)
 {
     try
     {
@@ -70,7 +70,7 @@
         int id;
     };
     const std::array table{
-        row{"refuse", "{}", own_error},
+        row{"refuse", "{}", custom_error_id},
         row{"fault", "{}", static_cast<int>(rpc_error_id::internal_error)},
         row{"garbage", "{}", static_cast<int>(rpc_error_id::internal_error)},
         row{"unknown", "{}", static_cast<int>(rpc_error_id::method_not_found)},
@@ -80,20 +80,21 @@
     for (const auto& row : table)
     {
         CAPTURE(row.method);
-        CHECK(error_of([&] { it.client.call(row.method, row.params); }) == row.id);
+        CHECK(error_id_of([&] { it.client.call(row.method, row.params); }) == row.id);
     }
     CHECK_THROWS_AS(it.server.add_method("echo", nullptr), std::invalid_argument);
 }
 
 TEST_CASE("rpc: a transport that fails is told from a method that does")
 {
-    rpc_client broken([](const std::string&) -> std::string { throw std::runtime_error("connection lost"); });
-    CHECK(error_of([&] { broken.call("echo", "{}"); }) == static_cast<int>(rpc_error_id::transport));
+    rpc_client failing([](const std::string&) -> std::string
+                       { throw std::runtime_error("connection lost"); });
+    CHECK(error_id_of([&] { failing.call("echo", "{}"); }) == static_cast<int>(rpc_error_id::transport));
     for (const auto* answer : {"", "no JSON", "[]", "{}"})
     {
         CAPTURE(answer);
-        rpc_client odd([answer](const std::string&) { return std::string(answer); });
-        CHECK(error_of([&] { odd.call("echo", "{}"); }) != 0);
+        rpc_client malformed([answer](const std::string&) { return std::string(answer); });
+        CHECK(error_id_of([&] { malformed.call("echo", "{}"); }) != 0);
     }
 }
 
--- a/tests/unit/test_rpc_http.cpp
+++ b/tests/unit/test_rpc_http.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-constexpr int own_error = 401;
+constexpr int custom_error_id = 401;
 
 /// A server with methods that answer and that refuse, and who it believes its caller is.
 struct rpc_http_fixture
@@ -23,14 +23,14 @@
         : server(threads.context(), "127.0.0.1:0", {},
                  [this](const http_request& request, const std::shared_ptr<http_exchange>& exchange)
                  {
-                     const bool known = request.header("Authorization") == "Bearer token";
-                     exchange->respond(known ? answer_rpc(methods, request)
-                                             : problem_response({.id = problem_id::unauthorized}));
+                     const bool authorized = request.header("Authorization") == "Bearer token";
+                     exchange->respond(authorized ? handle_rpc_request(methods, request)
+                                                  : problem_response({.id = problem_id::unauthorized}));
                  })
     {
         methods.add_method("echo", [](const std::string& params) { return params; });
-        methods.add_method("refuse",
-                           [](const std::string&) -> std::string { throw rpc_error(own_error, "no home"); });
+        methods.add_method(
+            "refuse", [](const std::string&) -> std::string { throw rpc_error(custom_error_id, "no home"); });
     }
     rpc_http_fixture(const rpc_http_fixture&) = delete;
     rpc_http_fixture(rpc_http_fixture&&) = delete;
@@ -45,7 +45,7 @@
     {
         return {.address = loopback(server.port()),
                 .headers = {{"Authorization", "Bearer token"}},
-                .timeout = patience};
+                .timeout = test_timeout};
     }
 
     rpc_server methods;
@@ -54,7 +54,7 @@
 };
 
 /// @return the id of the error that a call ends with, or 0
-int error_of(rpc_client& client, const std::string& method)
+int error_id_of(rpc_client& client, const std::string& method)
 {
     try
     {
@@ -74,25 +74,25 @@
     const rpc_http_fixture it;
     rpc_client client(make_http_transport(it.endpoint()));
     CHECK(client.call("echo", R"({"programs":["a","b"]})") == R"({"programs":["a","b"]})");
-    CHECK(error_of(client, "refuse") == own_error);
-    CHECK(error_of(client, "unknown") == static_cast<int>(rpc_error_id::method_not_found));
+    CHECK(error_id_of(client, "refuse") == custom_error_id);
+    CHECK(error_id_of(client, "unknown") == static_cast<int>(rpc_error_id::method_not_found));
 }
 
 TEST_CASE("rpc over HTTP: what the transport meets is no method's error")
 {
     const rpc_http_fixture it;
-    auto refused = it.endpoint();
-    refused.headers.clear();
-    rpc_client stranger(make_http_transport(refused));
-    CHECK(error_of(stranger, "echo") == static_cast<int>(rpc_error_id::transport));
-    rpc_client lost(make_http_transport({.address = "127.0.0.1:1"}));
-    CHECK(error_of(lost, "echo") == static_cast<int>(rpc_error_id::transport));
+    auto without_token = it.endpoint();
+    without_token.headers.clear();
+    rpc_client unauthenticated(make_http_transport(without_token));
+    CHECK(error_id_of(unauthenticated, "echo") == static_cast<int>(rpc_error_id::transport));
+    rpc_client unreachable(make_http_transport({.address = "127.0.0.1:1"}));
+    CHECK(error_id_of(unreachable, "echo") == static_cast<int>(rpc_error_id::transport));
 }
 
 TEST_CASE("rpc over HTTP: only POST is a call")
 {
     rpc_server methods;
-    const auto answer = answer_rpc(methods, {.method = "GET", .target = "/rpc"});
+    const auto answer = handle_rpc_request(methods, {.method = "GET", .target = "/rpc"});
     CHECK(answer.status == 405);
-    CHECK(answer_rpc(methods, {.method = "POST", .target = "/rpc", .body = "no JSON"}).status == 200);
+    CHECK(handle_rpc_request(methods, {.method = "POST", .target = "/rpc", .body = "no JSON"}).status == 200);
 }
--- a/tests/unit/test_store_client.cpp
+++ b/tests/unit/test_store_client.cpp
@@ -37,7 +37,7 @@
         threads.stop();
     }
 
-    [[nodiscard]] store_reply run(const store_op& op, std::chrono::milliseconds timeout = patience)
+    [[nodiscard]] store_reply run(const store_op& op, std::chrono::milliseconds timeout = test_timeout)
     {
         const auto done = std::make_shared<std::promise<store_reply>>();
         auto reply = done->get_future();
@@ -146,10 +146,10 @@
     SUBCASE("nobody there: nothing was written")
     {
         store_client away(it.http, "127.0.0.1:1");
-        watched<std::optional<store_status>> status;
-        away.run(table_put{"k", "a", 0}, patience,
+        synchronized_value<std::optional<store_status>> status;
+        away.run(table_put{"k", "a", 0}, test_timeout,
                  [&](const store_reply& reply)
-                 { status.change([&](auto& value) { value = reply.status; }); });
+                 { status.update([&](auto& value) { value = reply.status; }); });
         CHECK(status.wait([](const auto& value) { return value == store_status::unavailable; }));
     }
 }
--- a/tests/unit/test_target_backend.cpp
+++ b/tests/unit/test_target_backend.cpp
@@ -39,7 +39,7 @@
           m_client(m_io.context()),
           m_backend(m_io.context(), backend_options(kind),
                     [this](target_input input)
-                    { m_told.change([&](inputs& told) { told.push_back(std::move(input)); }); })
+                    { m_told.update([&](inputs& told) { told.push_back(std::move(input)); }); })
     {
     }
     backend_fixture(const backend_fixture&) = delete;
@@ -127,14 +127,14 @@
     /// Forgets what has been told so far.
     void forget()
     {
-        m_told.change([](inputs& told) { told.clear(); });
+        m_told.update([](inputs& told) { told.clear(); });
     }
 
     /// @return the numbers of the tokens told so far
     std::vector<std::uint64_t> sequences()
     {
         std::vector<std::uint64_t> numbers;
-        m_told.change(
+        m_told.update(
             [&](const inputs& told)
             {
                 for (const auto& it : told)
@@ -169,7 +169,7 @@
     standins::plain_service m_service;
     http_server m_server;
     http_client m_client;
-    watched<inputs> m_told;
+    synchronized_value<inputs> m_told;
     target_backend m_backend;
 };
 
