--- a/include/masticcourse/net/frame.hpp
+++ b/include/masticcourse/net/frame.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Frames of the connections between the system's processes: a four byte big-endian length, then the payload.
+/// Length-prefixed framing for inter-process connections: a four-byte big-endian payload length, then the
+/// payload.
 #pragma once
 
 #include <array>
@@ -16,10 +17,10 @@
 
 using frame_header = std::array<char, frame_header_size>;
 
-/// @return the header of a frame with @a size bytes of payload; at most what 32 bits hold
+/// @param size payload size in bytes; must fit in 32 bits
 [[nodiscard]] frame_header make_frame_header(std::size_t size);
 
-/// Takes bytes in pieces of any size and hands out whole payloads.
+/// Incremental decoder: accepts input split at any position and emits complete payloads.
 class frame_decoder
 {
   public:
@@ -27,10 +28,10 @@
 
     explicit frame_decoder(std::size_t max_frame = default_max_frame);
 
-    /// @return false if a frame is longer than the limit; nothing is decoded from then on
+    /// @return false once a frame exceeds the size limit; all further input is ignored
     [[nodiscard]] bool feed(std::string_view bytes, const frame_callback& on_frame);
 
-    /// @return whether the bytes so far end in the middle of a frame
+    /// @return whether the input so far ends in the middle of a frame
     [[nodiscard]] bool has_partial_frame() const;
 
   private:
--- a/include/masticcourse/net/http_client.hpp
+++ b/include/masticcourse/net/http_client.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// An asynchronous HTTP/1.1 client that keeps connections open for each address. No request that might have
-/// run is sent twice, unless its method is GET or HEAD.
+/// An asynchronous HTTP/1.1 client with a keep-alive connection pool per address. A request that may have
+/// been executed is never resent unless it is idempotent; by default only GET and HEAD count as idempotent.
 #pragma once
 
 #include "masticcourse/net/http_message.hpp"
@@ -36,54 +36,55 @@
     std::string target = "/";
     std::string body;
     std::vector<http_header> headers;
-    /// For the whole request; of a stream: the longest silence.
+    /// Limits the whole request; for a streamed response, the time without any data.
     std::chrono::milliseconds timeout{10'000};
-    /// For opening a connection; zero leaves it to `timeout`.
+    /// Limits connection establishment; if zero, only `timeout` applies.
     std::chrono::milliseconds connect_timeout{0};
-    /// Connections that have been idle for longer are not used for it; zero opens a new one.
+    /// Pooled connections that have been idle for longer are not used; zero always opens a new connection.
     std::chrono::milliseconds max_idle{std::chrono::hours{1}};
-    /// Whether it does no harm if the request runs twice; if unset, GET and HEAD count as harmless.
+    /// Whether the request may safely be executed twice; if unset, only GET and HEAD are assumed to be.
     std::optional<bool> idempotent;
-    /// Answers for which this is false belong to other requests: they are read and dropped. Empty takes all.
+    /// Returns false for a response that belongs to another request; such responses are read and discarded.
+    /// If empty, every response is accepted.
     http_head_filter is_matching_response;
-    /// Called once with the head of the answer, before its first piece.
+    /// Called once with the response's status and headers, before any part of its body.
     http_head_callback on_head;
 };
 
-/// Why there is no whole answer.
+/// Why no complete response was received.
 enum class http_failure : std::uint8_t
 {
     none,
-    /// No connection: nothing of the request was sent.
+    /// The connection could not be established; no part of the request was sent.
     connect,
-    /// The request was sent, perhaps in part, and the answer did not come in time.
+    /// The request was sent, at least in part, and the response did not arrive in time.
     timeout,
-    /// The connection broke after the request, or a part of it, was sent; or the stream was cancelled.
+    /// The connection was lost after at least part of the request was sent, or the stream was cancelled.
     broken,
 };
 
-/// @return the failure in words, with whether the request may have taken effect
+/// @return a description that also says whether the request may have taken effect
 [[nodiscard]] std::string_view to_string(http_failure failure);
 
 struct http_client_reply
 {
     http_failure failure = http_failure::none;
-    /// 0 until the head of the answer has come.
+    /// 0 if no response header was received.
     int status = 0;
     std::vector<http_header> headers;
     std::string body;
 
-    /// @return the value of the first header called @a name, whatever its case
+    /// @return the value of the first header named @a name, compared case-insensitively
     [[nodiscard]] std::optional<std::string> header(std::string_view name) const;
 };
 
-/// @return whether the client can connect to @a address: "ip:port"
+/// @return whether @a address has the form "ip:port" that the client accepts
 [[nodiscard]] bool is_valid_endpoint(std::string_view address);
 
 using http_reply_callback = std::function<void(http_client_reply)>;
 using http_chunk_callback = std::function<void(std::string_view)>;
 
-/// A streamed answer under way.
+/// A streamed response in progress.
 class http_stream
 {
   public:
@@ -94,12 +95,13 @@
     http_stream& operator=(http_stream&&) = delete;
     virtual ~http_stream() = default;
 
-    /// Closes the connection, so that the server sees it. From any thread; `on_end` is still called, once.
+    /// Closes the connection, which the server can observe. Thread-safe; `on_end` is still called exactly
+    /// once.
     virtual void cancel() = 0;
 };
 
-/// Sends requests. All members may be called from any thread; callbacks run on the context's threads.
-/// The client must go before its context does: it keeps connections open.
+/// Thread-safe; callbacks run on the context's threads. The client must be destroyed before its context,
+/// because it holds open sockets.
 class http_client
 {
   public:
@@ -108,16 +110,16 @@
     http_client(http_client&&) = delete;
     http_client& operator=(const http_client&) = delete;
     http_client& operator=(http_client&&) = delete;
-    /// Requests under way go on and still call back.
+    /// Requests in progress continue and still invoke their callbacks.
     ~http_client();
 
-    /// Sends a request and calls back once.
+    /// Sends a request; @a on_reply is called exactly once.
     void send(http_client_request request, http_reply_callback on_reply);
 
-    /// Sends a request whose answer is read piece by piece.
-    /// @param on_chunk takes each piece of a 2xx answer's body; other bodies come whole in the reply
-    /// @param on_end   is called once, after the last piece
-    /// @return a handle; dropping it does not cancel
+    /// Sends a request whose response is delivered incrementally.
+    /// @param on_chunk receives each part of a 2xx response's body; any other body is in the reply as a whole
+    /// @param on_end   called exactly once, after the last part
+    /// @return a handle for cancelling; destroying it does not cancel the request
     std::shared_ptr<http_stream> open_stream(http_client_request request, http_chunk_callback on_chunk,
                                              http_reply_callback on_end);
 
--- a/include/masticcourse/net/http_message.hpp
+++ b/include/masticcourse/net/http_message.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP messages as plain values, without the HTTP library's types.
+/// HTTP messages as plain value types, independent of the HTTP library.
 #pragma once
 
 #include "masticcourse/core/problem.hpp"
@@ -20,11 +20,11 @@
     friend bool operator==(const http_header&, const http_header&) = default;
 };
 
-/// @return the value of the first header called @a name, whatever its case
+/// @return the value of the first header named @a name, compared case-insensitively
 [[nodiscard]] std::optional<std::string> find_header(const std::vector<http_header>& headers,
                                                      std::string_view name);
 
-/// A request as a server received it.
+/// A request as received by the server.
 struct http_request
 {
     std::string method;
@@ -33,22 +33,23 @@
     std::string body;
     std::vector<http_header> headers;
 
-    /// @return the value of the first header called @a name, whatever its case
+    /// @return the value of the first header named @a name, compared case-insensitively
     [[nodiscard]] std::optional<std::string> header(std::string_view name) const;
 };
 
-/// A whole answer. `Content-Length` and `Connection` are the server's to set.
+/// A complete response. The server sets `Content-Length` and `Connection`.
 struct http_response
 {
     int status = 200;
-    /// Left empty, it is whatever `headers` say.
+    /// If empty, `Content-Type` is taken from `headers`.
     std::string content_type = "application/json";
     std::string body;
     std::vector<http_header> headers;
 };
 
-/// Writes a problem as an RFC 9457 document, with `id`, `ran` and, where there is one, `Retry-After`.
-/// @param status overrides the status that goes with the problem's id; 0 keeps it
+/// Serializes a problem as an RFC 9457 document with the extension members `id` and `ran`. A retry delay adds
+/// the member `retry_after_ms` and the header `Retry-After`.
+/// @param status overrides the default status of the problem's id; 0 keeps the default
 [[nodiscard]] http_response problem_response(const problem& failure, int status = 0);
 
 } // namespace masticcourse
--- a/include/masticcourse/net/http_server.hpp
+++ b/include/masticcourse/net/http_server.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// An HTTP/1.1 server: hands each request to a handler and lets any thread answer it, whole or as a stream.
+/// An HTTP/1.1 server. Each request is passed to a handler; the response, complete or streamed, may be sent
+/// from any thread.
 #pragma once
 
 #include "masticcourse/net/http_message.hpp"
@@ -20,8 +21,8 @@
 namespace masticcourse
 {
 
-/// The handle by which one request is answered, once, from any thread. Calls after the end of the answer are
-/// ignored. One that is dropped without an answer closes its connection.
+/// The handle for responding to one request, exactly once. Thread-safe. Calls after the end of the response
+/// are ignored. Destroying it before the response is complete closes the connection.
 class http_exchange
 {
   public:
@@ -32,76 +33,80 @@
     http_exchange& operator=(http_exchange&&) = delete;
     virtual ~http_exchange() = default;
 
-    /// Sends the whole answer.
+    /// Sends a complete response.
     virtual void respond(http_response response) = 0;
 
-    /// Sends the head of a streamed answer. Its type is `text/event-stream` unless a header says otherwise.
+    /// Sends the header of a streamed response. The content type defaults to `text/event-stream`.
     virtual void begin_stream(int status, std::vector<http_header> headers) = 0;
 
-    /// Sends a part of a streamed answer. A caller that reads too slowly (`max_stream_backlog`) is cut off.
+    /// Sends a part of a streamed response. If more than `http_limits::max_stream_backlog` bytes are waiting
+    /// to be written because the caller reads too slowly, the connection is closed.
     virtual void write(std::string chunk) = 0;
 
-    /// Ends a streamed answer.
+    /// Ends a streamed response.
     virtual void end_stream() = 0;
 
-    /// Sets what is called, on an I/O thread and at most once, when the caller goes away before the answer
-    /// ended.
+    /// Sets a callback for the caller disconnecting before the end of the response. It is called at most
+    /// once: on an I/O thread, or directly from this function if the session is already gone.
     virtual void on_closed(std::function<void()> callback) = 0;
 };
 
-/// Takes each request, on an I/O thread. It must not block; it may answer later.
+/// Called on an I/O thread for each request. It must not block; it may respond later.
 using http_handler = std::function<void(http_request, std::shared_ptr<http_exchange>)>;
 
-/// What a server grants its callers.
+/// Size, time and connection limits of a server.
 struct http_limits
 {
     std::size_t max_body = std::size_t{8} * 1024 * 1024;
     std::size_t max_header = std::size_t{16} * 1024;
-    /// From a request's first byte to its last; if `header_timeout` is set, for its body only.
+    /// From the first to the last byte of a request; if `header_timeout` is set, for the body only.
     std::chrono::milliseconds read_timeout{30'000};
-    /// From a request's first byte to the end of its header; zero leaves it to `read_timeout`.
+    /// From the first byte of a request to the end of its header; if zero, only `read_timeout` applies.
     std::chrono::milliseconds header_timeout{0};
-    /// Between two requests of one connection.
+    /// Between two requests on one connection.
     std::chrono::milliseconds idle_timeout{60'000};
-    /// For a caller to take the bytes of one write.
+    /// For one write to the caller to complete.
     std::chrono::milliseconds write_timeout{30'000};
-    /// How long idle connections stay open after `stop_accepting`, for requests on their way.
+    /// How long idle connections stay open after `stop_accepting`, so that requests already in transit are
+    /// still served.
     std::chrono::milliseconds stop_grace{500};
-    /// More connections than these are answered with 503 and closed.
+    /// Connections over this limit receive a 503 response and are closed.
     std::size_t max_connections = 20'000;
-    /// Bytes of a stream that may wait for a slow caller.
+    /// Bytes of a streamed response that may be queued for a slow caller.
     std::size_t max_stream_backlog = std::size_t{8} * 1024 * 1024;
 };
 
-/// Serves HTTP on one address. Requests over the limits, and malformed ones, are answered with problem
-/// documents that say `"ran":"no"`, and never reach the handler. The server must go before its context does;
-/// exchanges may be kept longer.
+/// Serves HTTP on one address. Malformed requests and requests over the limits never reach the handler; they
+/// receive problem documents with `"ran":"no"`. The server must be destroyed before its context; exchanges
+/// may outlive it.
 class http_server
 {
   public:
-    /// @param address "ip:port"; port 0 takes any free one
-    /// @throws std::runtime_error if the address can't be bound
+    /// @param address "ip:port"; port 0 selects any free port
+    /// @throws std::runtime_error if the address is malformed or cannot be bound
     http_server(boost::asio::io_context& context, const std::string& address, http_limits limits,
                 http_handler handler);
     http_server(const http_server&) = delete;
     http_server(http_server&&) = delete;
     http_server& operator=(const http_server&) = delete;
     http_server& operator=(http_server&&) = delete;
-    /// Closes all connections at once. The handler may still run on other threads that run the context.
+    /// Closes all connections immediately. The handler may still be running on other threads of the context.
     ~http_server();
 
     [[nodiscard]] std::uint16_t port() const;
 
-    /// Replaces the limits; requests under way keep those that they began with.
+    /// Replaces the limits. A request that is already being read keeps the limits for reading it.
     void set_limits(const http_limits& limits);
 
-    /// From now on every answer says that its connection closes after it. New connections are still taken.
+    /// From now on, every response carries `Connection: close` and its connection is closed after it. New
+    /// connections are still accepted.
     void announce_close();
 
-    /// Takes no new connections; requests under way are finished, then their connections close.
+    /// Stops accepting connections. Requests in progress are completed, then their connections are closed.
     void stop_accepting();
 
-    /// @return the number of requests whose first byte has come and whose answer has not been written
+    /// @return the number of requests whose first byte was received and whose response is not yet fully
+    /// written
     [[nodiscard]] std::size_t open_exchanges() const;
 
   private:
--- a/include/masticcourse/net/rpc.hpp
+++ b/include/masticcourse/net/rpc.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// JSON-RPC 2.0 control calls between the system's processes, over any transport that carries text both ways.
-/// Plain C++14 without the RPC library's types: that library needs C++14, the rest of the project C++20.
+/// JSON-RPC 2.0 control calls between processes, over any request-response text transport. This header is
+/// valid C++14 and does not expose the RPC library's types, because that library requires C++14 while the
+/// rest of the project uses C++20.
 #pragma once
 
 #include <functional>
@@ -11,7 +12,7 @@
 namespace masticcourse
 {
 
-/// The ids of failures that are not a method's own (JSON-RPC 2.0, and those of the library's connectors).
+/// Error codes not raised by a method itself: those of JSON-RPC 2.0 and those of the library's connectors.
 enum class rpc_error_id : int
 {
     parse_error = -32700,
@@ -19,13 +20,13 @@
     method_not_found = -32601,
     invalid_params = -32602,
     internal_error = -32603,
-    /// The answer is no JSON-RPC document.
+    /// The response is not a JSON-RPC document.
     invalid_response = -32001,
-    /// The transport failed; the call may have run.
+    /// The transport failed; the call may have been executed.
     transport = -32003,
 };
 
-/// A call that failed. A method may throw one with an id of its own, which its caller then gets.
+/// A failed call. Methods may throw it with an application-defined id, which is passed on to the caller.
 class rpc_error : public std::runtime_error
 {
   public:
@@ -42,12 +43,12 @@
     int m_id;
 };
 
-/// Answers requests by methods. Once all methods are added, any thread may call `handle`.
+/// Dispatches requests to registered methods. `handle` is thread-safe once all methods have been added.
 class rpc_server
 {
   public:
-    /// Takes the parameters as JSON text ("null" if there are none) and returns the result as JSON text.
-    /// What it throws becomes the caller's error.
+    /// Receives the parameters as JSON text ("null" if there are none) and returns the result as JSON text.
+    /// Exceptions are reported to the caller as errors.
     using method = std::function<std::string(const std::string& json_params)>;
 
     rpc_server();
@@ -57,10 +58,10 @@
     rpc_server& operator=(rpc_server&&) = delete;
     ~rpc_server();
 
-    /// @throws std::invalid_argument if there is a method of that name
+    /// @throws std::invalid_argument if a method of that name is already registered
     void add_method(const std::string& name, method function);
 
-    /// @return the answer as text, whatever @a request_text is
+    /// @return the JSON-RPC response text; an error response if @a request_text is malformed
     std::string handle(const std::string& request_text);
 
   private:
@@ -68,11 +69,10 @@
     std::unique_ptr<dispatcher> m_dispatcher;
 };
 
-/// Calls methods of a server.
 class rpc_client
 {
   public:
-    /// Carries a request to the server and returns its answer; throws if it can't.
+    /// Sends a request to the server and returns the response text; throws on failure.
     using transport = std::function<std::string(const std::string& request_text)>;
 
     explicit rpc_client(transport send_request);
@@ -84,7 +84,7 @@
 
     /// @param json_params an object or array as JSON text, or "null"
     /// @return the result as JSON text
-    /// @throws rpc_error if the server says so, or the transport fails
+    /// @throws rpc_error if the server returns an error or the transport fails
     std::string call(const std::string& method, const std::string& json_params);
 
   private:
--- a/include/masticcourse/net/rpc_http.hpp
+++ b/include/masticcourse/net/rpc_http.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// JSON-RPC over HTTP: a request is the body of a POST, and its answer that of the reply.
+/// JSON-RPC over HTTP: requests are sent as the body of a POST, responses returned as the body of its reply.
 #pragma once
 
 #include "masticcourse/net/http_message.hpp"
@@ -12,22 +12,22 @@
 namespace masticcourse
 {
 
-/// Where a server takes JSON-RPC requests.
+/// The HTTP endpoint of a JSON-RPC server, with request options.
 struct rpc_http_endpoint
 {
     /// "ip:port"
     std::string address;
     std::string target = "/rpc";
-    /// Headers besides those that HTTP needs, such as `Authorization`.
+    /// Additional request headers, such as `Authorization`.
     std::vector<http_header> headers;
     std::chrono::milliseconds timeout{10'000};
 };
 
-/// Answers a request by @a server, on the calling thread: the one that owns what the methods read.
-/// @return a JSON-RPC answer, or a problem document if @a request is no POST
+/// Dispatches a request to @a server on the calling thread, which must own the data that the methods access.
+/// @return a JSON-RPC response, or a problem document if @a request is not a POST
 [[nodiscard]] http_response handle_rpc_request(rpc_server& server, const http_request& request);
 
-/// @return a transport that blocks until the answer is there; it throws `std::runtime_error` if there is none
+/// @return a transport that blocks until the response arrives and throws `std::runtime_error` on failure
 [[nodiscard]] rpc_client::transport make_http_transport(rpc_http_endpoint endpoint);
 
 } // namespace masticcourse
--- a/include/masticcourse/net/sse.hpp
+++ b/include/masticcourse/net/sse.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Server-sent events: an incremental parser and the formatter that goes with it.
+/// Server-sent events: an incremental parser and a formatter.
 #pragma once
 
 #include <cstddef>
@@ -13,22 +13,22 @@
 
 struct sse_event
 {
-    /// The event's own id, if it has one (`Last-Event-ID` names it).
+    /// The event id, if present; a reconnecting client sends it as `Last-Event-ID`.
     std::optional<std::string> id;
-    /// The event's type; empty means "message".
+    /// The event type; empty means the default type "message".
     std::string event;
     std::string data;
 
     friend bool operator==(const sse_event&, const sse_event&) = default;
 };
 
-/// @return the event as text; line breaks inside data become several `data` lines
+/// Serializes an event; data with line breaks is written as several `data` lines.
 [[nodiscard]] std::string format_sse(const sse_event& event);
 
-/// @return a comment line, which receivers skip; it keeps a quiet connection alive
+/// Serializes a comment, which receivers ignore; used to keep idle connections alive.
 [[nodiscard]] std::string format_sse_comment(std::string_view text);
 
-/// Takes the text of a stream in pieces of any size and hands out whole events.
+/// Incremental parser: accepts input split at any position and emits complete events.
 class sse_parser
 {
   public:
@@ -36,10 +36,10 @@
 
     static constexpr std::size_t default_max_event = std::size_t{8} * 1024 * 1024;
 
-    /// @param max_event the most bytes of one event; a longer one ends the stream
+    /// @param max_event maximum size of one event in bytes; parsing stops at an event that exceeds it
     explicit sse_parser(event_callback on_event, std::size_t max_event = default_max_event);
 
-    /// @return false if an event is too long; nothing is parsed from then on
+    /// @return false once an event exceeds the size limit; all further input is ignored
     [[nodiscard]] bool feed(std::string_view bytes);
 
   private:
--- a/src/net/deadline.hpp
+++ b/src/net/deadline.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A deadline on a strand: calls back once unless it is cleared or set anew before.
+/// A restartable one-shot timer for use on a strand.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -13,23 +13,25 @@
 namespace masticcourse::detail
 {
 
-/// To be used on its executor only.
+/// All members must be called on its executor.
 class deadline
 {
   public:
     explicit deadline(const boost::asio::any_io_executor& executor);
 
-    /// Replaces what was set before.
-    /// @param on_expired must not own the deadline's owner; it may be called only while the deadline exists
+    /// Replaces any previously set deadline.
+    /// @param on_expired must not own the object that holds this deadline; it is called only while the
+    /// deadline exists
     void set(std::chrono::milliseconds timeout, std::function<void()> on_expired);
 
     void clear();
 
-    /// @return whether the deadline set last has passed
+    /// @return whether the most recently set deadline has expired
     [[nodiscard]] bool expired() const;
 
   private:
-    /// Outlives the deadline, so that a late timer can see that it is not meant any more.
+    /// Referenced weakly by the timer's handler, so that a handler already queued when the deadline is
+    /// replaced, cleared or destroyed detects this and does nothing.
     struct shared_state
     {
         std::uint64_t generation = 0;
--- a/src/net/frame.cpp
+++ b/src/net/frame.cpp
@@ -11,7 +11,8 @@
 {
 
 constexpr unsigned bits_per_byte = 8;
-/// A length is believed only as far as bytes come: no more memory than this is taken ahead.
+/// Upper bound of the memory reserved before payload bytes arrive: the length in the header comes from the
+/// peer and is not trusted.
 constexpr std::size_t max_initial_reserve = std::size_t{1024} * 1024;
 
 std::size_t parse_payload_size(const frame_header& header)
--- a/src/net/http_answer.hpp
+++ b/src/net/http_answer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Conversions between the project's HTTP values and Beast's messages, for the server.
+/// Conversions between the project's HTTP value types and Beast messages, mainly for the server.
 #pragma once
 
 #include "masticcourse/net/http_message.hpp"
@@ -18,10 +18,9 @@
 
 namespace beast_http = boost::beast::http;
 
-/// @return the headers as plain values
 [[nodiscard]] std::vector<http_header> to_headers(const beast_http::fields& fields);
 
-/// Takes the body out of @a message.
+/// Moves the body out of @a message.
 [[nodiscard]] http_request to_request(beast_http::request<beast_http::string_body>& message);
 
 [[nodiscard]] beast_http::response<beast_http::string_body> to_message(http_response response,
@@ -30,17 +29,17 @@
 [[nodiscard]] beast_http::response<beast_http::empty_body>
 to_stream_head(int status, const std::vector<http_header>& headers, unsigned version, bool keep_alive);
 
-/// What stands around a part of a streamed body.
+/// The bytes before and after one chunk of a chunked body.
 struct chunk_framing
 {
     std::string prefix;
     std::string suffix;
 };
 
-/// @param chunked false for callers that know no chunks (HTTP/1.0): nothing stands around the part then
+/// @param chunked false for HTTP/1.0, which has no chunked encoding; both strings are then empty
 [[nodiscard]] chunk_framing make_chunk_framing(std::size_t size, bool chunked);
 
-/// @return the answer to a request that could not be read, or nothing if its sender is gone
+/// @return the response to a request that could not be read, or `std::nullopt` if the connection was lost
 [[nodiscard]] std::optional<http_response> error_response_for(boost::system::error_code ec, bool timed_out);
 
 } // namespace masticcourse::detail
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -34,7 +34,7 @@
     return find_header(headers, name);
 }
 
-/// The connections that wait for their next request, and where new ones run.
+/// Idle connections and the context on which new ones are created.
 class http_client::pool
 {
   public:
--- a/src/net/http_connection.cpp
+++ b/src/net/http_connection.cpp
@@ -16,8 +16,8 @@
 using boost::system::error_code;
 
 constexpr std::size_t max_idle_per_address = 64;
-/// Of a connection whose server states no limit: shorter than servers usually keep theirs, so that a request
-/// rarely meets a closing connection.
+/// Used if the server sends no `Keep-Alive` timeout. It is shorter than the usual idle timeout of servers, so
+/// that a request is rarely sent on a connection that the server is closing.
 constexpr std::chrono::milliseconds default_idle_timeout{15'000};
 
 } // namespace
@@ -53,7 +53,7 @@
     {
         return nullptr;
     }
-    // The one used last is the least likely to have been closed.
+    // The most recently used connection is the least likely to have been closed by the server.
     auto connection = std::move(it->second.back());
     it->second.pop_back();
     if (it->second.empty())
@@ -73,7 +73,7 @@
     auto connection = pop(address);
     if (connection && idle_too_long(*connection))
     {
-        // The others have been idle for longer still; they stay for requests that don't mind.
+        // All others have been idle even longer; keep them for requests with a larger `max_idle`.
         return_unused(address, connection);
         return nullptr;
     }
--- a/src/net/http_connection.hpp
+++ b/src/net/http_connection.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One connection of the HTTP client, and the pool of those that wait for their next request.
+/// A connection of the HTTP client, and the pool of idle connections.
 #pragma once
 
 #include "deadline.hpp"
@@ -20,12 +20,12 @@
 namespace masticcourse::detail
 {
 
-/// A connection on a strand of its own.
+/// A connection with its own strand.
 struct http_connection
 {
     explicit http_connection(boost::asio::io_context& context);
 
-    /// @return whether the other end has neither closed nor sent anything unasked
+    /// @return false if the peer has closed the connection or sent unsolicited data
     [[nodiscard]] bool is_reusable();
 
     void close();
@@ -33,23 +33,24 @@
     boost::asio::ip::tcp::socket socket;
     boost::beast::flat_buffer buffer;
     deadline timer;
-    /// Whether an earlier request was answered on it.
+    /// Whether the connection has already served a request.
     bool reused = false;
-    /// How long it may wait for its next request, as the server said.
+    /// How long the connection may stay idle, derived from the server's `Keep-Alive` header; 0 if not known.
     std::chrono::milliseconds idle_timeout{0};
     std::chrono::steady_clock::time_point idle_since;
 };
 
-/// Idle connections by address. Thread-safe.
+/// Idle connections, keyed by address. Thread-safe.
 class connection_pool
 {
   public:
-    /// @param longest_idle one that has been idle for longer is not given out
-    /// @return a quiet connection, or null if there is none
+    /// @param max_idle connections that have been idle for longer are not returned
+    /// @return a reusable connection, or null if there is none
     [[nodiscard]] std::shared_ptr<http_connection> acquire(const std::string& address,
                                                            std::chrono::milliseconds max_idle);
 
-    /// Keeps @a connection for the next request, unless enough are kept.
+    /// Adds @a connection to the idle connections; if there are too many, the one that was idle longest is
+    /// closed.
     void release(const std::string& address, const std::shared_ptr<http_connection>& connection);
 
   private:
--- a/src/net/http_message.cpp
+++ b/src/net/http_message.cpp
@@ -48,7 +48,7 @@
     }
     if (failure.retry_after)
     {
-        // Seconds, rounded up: coming back early would only be refused again.
+        // `Retry-After` has whole seconds; rounded up, because a retry that comes too early is refused again.
         const auto seconds = std::chrono::ceil<std::chrono::seconds>(*failure.retry_after);
         response.headers.push_back({"Retry-After", std::to_string(seconds.count())});
         document["retry_after_ms"] = failure.retry_after->count();
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -10,7 +10,7 @@
 namespace masticcourse
 {
 
-/// Takes connections and keeps count of them.
+/// Accepts connections and enforces the connection limit.
 class http_server::listener : public std::enable_shared_from_this<listener>
 {
   public:
--- a/src/net/http_session.cpp
+++ b/src/net/http_session.cpp
@@ -28,20 +28,21 @@
 using boost::system::error_code;
 
 constexpr std::size_t read_size = std::size_t{16} * 1024;
-/// How much of the requests that follow is read while one is being answered.
+/// Maximum number of bytes of pipelined requests that are buffered while a response is in progress.
 constexpr std::size_t max_read_ahead = std::size_t{64} * 1024;
-/// How long a caller may take to close after the last answer.
+/// How long to wait for the caller to close the connection after the last response.
 constexpr std::chrono::milliseconds linger_timeout{1'000};
 
-/// @return whether two readers could disagree where the body ends: only `chunked` alone is understood here,
-/// and what others take for a body would be read as the next request
+/// Guards against request smuggling. Only the transfer encoding `chunked` on its own is supported here; with
+/// any other encoding, a proxy could take as the body what this parser would read as the next request.
+/// @return whether another implementation may determine a different end of the body
 bool has_ambiguous_length(const http::request<http::string_body>& message)
 {
     const auto encoding = message[http::field::transfer_encoding];
     return !encoding.empty() && !boost::beast::iequals(encoding, "chunked");
 }
 
-/// Counts a request as under way while it exists.
+/// Counts a request in `http_server_state::open_exchanges` for the lifetime of this object.
 class open_exchange_guard
 {
   public:
@@ -62,8 +63,8 @@
     std::shared_ptr<http_server_state> m_server;
 };
 
-/// The handler's handle on one request of a session. It does not keep the session, which goes with the
-/// context.
+/// The exchange passed to the handler for one request. It references the session weakly, because the session
+/// must not outlive the I/O context.
 class session_exchange final : public http_exchange
 {
   public:
@@ -113,7 +114,7 @@
     }
 
   private:
-    /// @return whether the session is still there
+    /// @return whether the session still exists
     template <typename Action>
     bool forward(Action action)
     {
@@ -238,7 +239,7 @@
 {
     parser.header_limit(static_cast<std::uint32_t>(m_server->limits.max_header));
     parser.body_limit(m_server->limits.max_body);
-    // Shutting down one direction leaves the other for saying that the request came too late.
+    // Only the receiving direction is shut down, so that the time-out response can still be sent.
     const auto stop_reading = [weak = weak_from_this()]
     {
         if (const auto self = weak.lock())
@@ -299,7 +300,7 @@
     }
     catch (const std::exception& error)
     {
-        // Nobody can tell how far the handler came.
+        // It is unknown whether the handler took effect before it threw.
         exchange->respond(problem_response(
             {.id = problem_id::outcome_unknown, .ran = ran_state::unknown, .detail = error.what()}, 500));
     }
@@ -390,7 +391,7 @@
     {
         co_return true;
     }
-    // The parts go out as one chunk, straight from the strings that the handler gave.
+    // All queued parts are written as one chunk, without copying the handler's strings.
     const auto framing = make_chunk_framing(size, chunked());
     std::vector<asio::const_buffer> buffers;
     buffers.reserve(chunks.size() + 2);
@@ -427,18 +428,19 @@
     }
     if (ec && ec != asio::error::operation_aborted)
     {
-        // The caller may have closed one direction only and still wait for its answer.
+        // The caller may have closed only its sending direction and still expect the response, so sending
+        // continues.
         m_request.keep_alive = false;
         handle_disconnect();
     }
-    // Ends when the answer does.
+    // Suspends until the parallel send_response finishes and cancels this coroutine.
     asio::steady_timer never_expiring(m_socket.get_executor(), asio::steady_timer::time_point::max());
     co_await never_expiring.async_wait(use_tuple);
 }
 
 asio::awaitable<void> http_session::linger()
 {
-    // Closing with unread bytes would reset the connection and may destroy the answer on its way.
+    // Closing a socket with unread input resets the connection, which may discard the response in transit.
     error_code ignored;
     m_socket.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
     close_after(linger_timeout);
--- a/src/net/http_session.hpp
+++ b/src/net/http_session.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One connection of the HTTP server: reads requests one after the other and writes their answers.
+/// One connection of the HTTP server: reads requests sequentially and writes their responses.
 #pragma once
 
 #include "deadline.hpp"
@@ -29,22 +29,22 @@
 
 class http_session;
 
-/// What all connections of one server share.
+/// State shared by all connections of one server.
 struct http_server_state
 {
     http_limits limits;
     http_handler handler;
     std::atomic<std::size_t> open_exchanges = 0;
-    /// Connections close after the answer under way.
+    /// Every connection is closed after its current response.
     std::atomic<bool> closing = false;
-    /// No new connections are taken, and idle ones close soon.
+    /// No new connections are accepted, and idle ones are closed after `http_limits::stop_grace`.
     std::atomic<bool> stopping = false;
 
     std::mutex mutex;
     std::unordered_map<http_session*, std::weak_ptr<http_session>> sessions;
 };
 
-/// All members but the constructor and those said to be thread-safe run on the socket's strand.
+/// All members run on the socket's strand, except the constructor and those marked as thread-safe.
 class http_session : public std::enable_shared_from_this<http_session>
 {
   public:
@@ -52,14 +52,15 @@
 
     /// Serves the connection until it closes.
     void serve();
-    /// Says that the server has too many connections, and closes.
+    /// Responds that the server has too many connections, then closes.
     void reject_connection();
-    /// Closes soon if the connection is idle, else after the answer under way. Thread-safe.
+    /// Closes the connection after `http_limits::stop_grace` if it is idle, otherwise after the current
+    /// response. Thread-safe.
     void stop();
-    /// Closes at once. Thread-safe.
+    /// Closes immediately. Thread-safe.
     void abort();
 
-    /// @name For the exchange with this number. Thread-safe.
+    /// @name Operations of the exchange with the given number. Thread-safe.
     /// @{
     void post_response(std::uint64_t exchange, http_response response);
     void post_stream(std::uint64_t exchange, int status, std::vector<http_header> headers);
@@ -78,7 +79,7 @@
         std::vector<http_header> headers;
     };
 
-    /// The answer under way, as far as the handler has given it.
+    /// The current response, as far as the handler has provided it.
     struct response_state
     {
         std::uint64_t number = 0;
@@ -86,15 +87,15 @@
         std::optional<stream_head> head;
         std::vector<std::string> chunks;
         std::size_t backlog = 0;
-        /// The answer's last part has been given.
+        /// The handler has provided the last part of the response.
         bool complete = false;
         bool dropped = false;
-        /// All of it has been written.
+        /// The whole response has been written to the socket.
         bool written = false;
         std::function<void()> on_closed;
     };
 
-    /// How the request under way wants to be answered.
+    /// Properties of the current request that determine the form of the response.
     struct request_traits
     {
         bool keep_alive = false;
@@ -133,7 +134,7 @@
     std::shared_ptr<http_server_state> m_server;
     boost::beast::flat_buffer m_buffer;
     deadline m_deadline;
-    /// Never expires; cancelling it wakes the coroutine that writes the answer.
+    /// Never expires; cancelling it wakes the coroutine that sends the response.
     boost::asio::steady_timer m_wake;
     response_state m_response;
     request_traits m_request;
--- a/src/net/http_transfer.cpp
+++ b/src/net/http_transfer.cpp
@@ -30,13 +30,14 @@
 constexpr unsigned http_1_1 = 11;
 constexpr int status_class_success = 2;
 constexpr std::uint32_t max_reply_header = 64 * 1024;
-/// How many answers to other requests are skipped on one connection before it counts as broken.
+/// How many responses to other requests are skipped on one connection before the request fails.
 constexpr int max_mismatched_responses = 4;
-/// Sent bytes that stay unacknowledged for so long end the connection: the other end or the path is gone.
-/// Several retransmissions on links of milliseconds, and well under a caller's usual patience of seconds.
+/// The connection is closed if sent data stays unacknowledged for this long: the peer or the network path has
+/// failed. It allows several retransmissions at round-trip times of milliseconds and is well below the usual
+/// request timeouts of callers, which are seconds.
 constexpr std::chrono::milliseconds unacknowledged_timeout{1'500};
 
-/// The socket option that bounds how long sent bytes may stay unacknowledged, in Asio's form.
+/// `TCP_USER_TIMEOUT` as an Asio socket option: limits how long sent data may stay unacknowledged.
 class tcp_user_timeout
 {
   public:
@@ -85,7 +86,7 @@
         }
         else
         {
-            // A header that stands twice is sent twice.
+            // insert, not set: repeated headers are all sent.
             message.insert(it.name, it.value);
         }
     };
@@ -95,11 +96,11 @@
     return message;
 }
 
-/// @param stated the value of a `Keep-Alive` header
-/// @return how long the connection may be idle: less than stated, as a request must still reach the server
+/// @return how long the connection may stay idle: less than the stated timeout, because the next request must
+/// reach the server before it closes the connection
 std::chrono::milliseconds parse_keep_alive_timeout(std::string_view keep_alive_header)
 {
-    // Four fifths of a timeout of whole seconds leave at least 200 ms for the way.
+    // Four fifths of a timeout of whole seconds leave at least 200 ms of network delay.
     constexpr int usable_ms_per_second = 800;
     constexpr std::string_view name = "timeout=";
     const auto position = keep_alive_header.find(name);
@@ -149,7 +150,7 @@
         asio::post(connection->socket.get_executor(),
                    [self = shared_from_this(), connection]
                    {
-                       // It may have gone back to the pool meanwhile.
+                       // The connection may have been returned to the pool in the meantime.
                        const std::scoped_lock lock(self->m_mutex);
                        if (self->m_connection.lock() == connection)
                        {
@@ -214,7 +215,8 @@
 
 asio::awaitable<bool> http_transfer::exchange(connection_ptr connection)
 {
-    // A server that refuses a request may answer before it has read it all.
+    // A server that rejects a request may respond before reading all of it, so the response is read even if
+    // the write failed midway.
     const bool sent = co_await write_request(connection);
     if (!sent && m_bytes_written == 0)
     {
--- a/src/net/http_transfer.hpp
+++ b/src/net/http_transfer.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// One request of the HTTP client on its way: connects, sends, reads the answer, tries again where that is
-/// safe.
+/// One request of the HTTP client in progress: connects, sends the request, reads the response, and retries
+/// where that is safe.
 #pragma once
 
 #include "http_connection.hpp"
@@ -19,11 +19,11 @@
 namespace masticcourse::detail
 {
 
-/// Runs on the strand of its connection; `cancel` may come from any thread.
+/// Runs on the strand of its connection; `cancel` is thread-safe.
 class http_transfer final : public http_stream, public std::enable_shared_from_this<http_transfer>
 {
   public:
-    /// @param on_chunk empty if the body is to come whole in the reply
+    /// @param on_chunk if empty, the whole body is returned in the reply
     http_transfer(boost::asio::io_context& context, std::shared_ptr<connection_pool> pool,
                   http_client_request request, http_chunk_callback on_chunk, http_reply_callback on_reply);
 
@@ -64,12 +64,12 @@
     std::size_t m_bytes_written = 0;
     bool m_response_started = false;
     bool m_keep_alive = false;
-    /// The answer being read belongs to another request.
+    /// The response being read belongs to another request.
     bool m_response_mismatched = false;
 
     std::mutex m_mutex;
-    /// Under @a m_mutex: the connection to close on cancelling. Its coroutine owns it, so that a handle kept
-    /// too long holds no socket of a context that is gone.
+    /// Guarded by @a m_mutex: the connection to close on cancellation. The coroutine owns the connection, so
+    /// that a handle that outlives the I/O context does not hold one of its sockets.
     std::weak_ptr<http_connection> m_connection;
     std::atomic<bool> m_cancelled = false;
 };
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -28,8 +28,8 @@
 
 constexpr std::size_t read_size = std::size_t{64} * 1024;
 
-/// The connection behind a link, kept by its own operations until it closes. What is public is thread-safe;
-/// the rest runs on the socket's strand.
+/// The connection behind a link, kept alive by its pending operations until it closes. Public members are
+/// thread-safe; private ones run on the socket's strand.
 class peer_connection : public std::enable_shared_from_this<peer_connection>
 {
   public:
@@ -68,7 +68,7 @@
         post([frame = std::move(frame)](peer_connection& self) mutable { self.enqueue(std::move(frame)); });
     }
 
-    /// Keeps an accepted connection until it is started.
+    /// Keeps an accepted connection alive until it is started or closed.
     void hold_until_started()
     {
         m_start_timer.async_wait([self = shared_from_this()](error_code) {});
@@ -194,7 +194,7 @@
         write();
     }
 
-    /// Sends all that waits by one write, straight from the frames.
+    /// Sends all queued frames with one gathered write, without copying them.
     void write()
     {
         if (!m_open || m_closed || !m_sending.empty() || m_queue.empty())
@@ -248,7 +248,7 @@
         notify_closed();
     }
 
-    /// The callbacks go, so that what they own is freed.
+    /// Also releases the callbacks and everything they own.
     void notify_closed()
     {
         const auto callbacks = std::exchange(m_callbacks, {});
@@ -260,7 +260,8 @@
 
     asio::ip::tcp::socket m_socket;
     detail::deadline m_timer;
-    /// Never expires; cancelled when the connection is started or closed.
+    /// Never expires. Its pending wait keeps an accepted connection alive; it is cancelled when the
+    /// connection is started or closed.
     asio::steady_timer m_start_timer;
     std::string m_remote;
     peer_link_limits m_limits;
@@ -276,12 +277,13 @@
     bool m_closed = false;
 };
 
-/// The owner's handle. It holds its connection weakly: the context's operations keep that, and it goes with
-/// them.
+/// The owner's handle. It references the connection weakly: the connection is owned by its pending operations
+/// in the I/O context and is destroyed with them.
 class tcp_peer_link final : public peer_link
 {
   public:
-    /// @param started false for an accepted connection, which closes if it is dropped before its start
+    /// @param started false for an accepted connection, which is closed if this handle is destroyed before
+    /// `start`
     tcp_peer_link(const std::shared_ptr<peer_connection>& connection, bool started)
         : m_connection(connection), m_remote(connection->remote_address()), m_started(started)
     {
@@ -354,7 +356,7 @@
     return std::make_shared<tcp_peer_link>(connection, true);
 }
 
-/// The acceptor, which makes a link of each connection.
+/// Creates a link for each accepted connection.
 class peer_listener::acceptor : public detail::tcp_acceptor
 {
   public:
--- a/src/net/rpc_http.cpp
+++ b/src/net/rpc_http.cpp
@@ -15,7 +15,7 @@
 
 constexpr int status_ok = 200;
 
-/// Runs a context of its own until the answer is there.
+/// Blocks until the request completes, running a private I/O context.
 http_client_reply send_and_wait(http_client_request request)
 {
     boost::asio::io_context context;
--- a/src/net/sse.cpp
+++ b/src/net/sse.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::string_view byte_order_mark = "\xEF\xBB\xBF";
 
-/// Takes the first line off @a text; line ends are CR, LF or both.
+/// Removes the first line from @a text and returns it; lines end with CR, LF or CRLF.
 std::string_view extract_line(std::string_view& text)
 {
     const auto end = text.find_first_of("\r\n");
@@ -27,7 +27,7 @@
 
 void append_lines(std::string& out, std::string_view field, std::string_view text)
 {
-    // A line break at the end is one more, empty line.
+    // A trailing line break is followed by one more, empty line; empty text is a single empty line.
     const bool ends_with_line_break = text.empty() || text.back() == '\n' || text.back() == '\r';
     while (!text.empty())
     {
@@ -121,7 +121,7 @@
 
 void sse_parser::process_field(std::string_view name, std::string_view value)
 {
-    // Lines without a name are comments; fields of other names are skipped.
+    // An empty field name marks a comment; unknown fields are ignored.
     if (name == "data")
     {
         if (std::exchange(m_has_data, true))
--- a/src/net/tcp_acceptor.cpp
+++ b/src/net/tcp_acceptor.cpp
@@ -21,7 +21,7 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-/// How long to wait before accepting again when the process is out of descriptors.
+/// Delay before accepting again after an error, such as running out of file descriptors.
 constexpr std::chrono::milliseconds accept_retry_delay{20};
 
 } // namespace
--- a/src/net/tcp_acceptor.hpp
+++ b/src/net/tcp_acceptor.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Accepts TCP connections, each on a strand of its own.
+/// Accepts TCP connections, each with its own strand.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -14,24 +14,23 @@
 namespace masticcourse::detail
 {
 
-/// Lives until it is closed. Its callback runs on one strand.
+/// Stays alive until it is closed. All calls of its callback run on one strand.
 class tcp_acceptor : public std::enable_shared_from_this<tcp_acceptor>
 {
   public:
     using socket_callback = std::function<void(boost::asio::ip::tcp::socket)>;
 
-    /// @throws std::runtime_error if @a address can't be bound
+    /// @throws std::runtime_error if @a address is malformed or cannot be bound
     tcp_acceptor(boost::asio::io_context& context, const std::string& address, socket_callback on_socket);
 
-    /// Begins to accept.
     void start();
 
-    /// Takes the connections that the system has accepted already (closing would reset them), and closes.
+    /// Accepts the connections already in the listen backlog, which closing would reset, then closes.
     /// Thread-safe.
-    /// @param on_done runs on the acceptor's strand afterwards
+    /// @param on_done called on the acceptor's strand afterwards
     void drain_and_close(std::function<void()> on_done);
 
-    /// Closes at once. Thread-safe.
+    /// Closes immediately; connections still in the listen backlog are reset. Thread-safe.
     void close();
 
     [[nodiscard]] std::uint16_t port() const;
--- a/src/net/use_tuple.hpp
+++ b/src/net/use_tuple.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The completion token of the network layer's coroutines.
+/// The completion token used by the coroutines of the network layer.
 #pragma once
 
 #include <boost/asio/as_tuple.hpp>
@@ -8,7 +8,8 @@
 namespace masticcourse::detail
 {
 
-/// Errors come as the first member of a tuple: they are ordinary here, not exceptional.
+/// Returns the error code as the first element of a tuple instead of throwing, because I/O errors are part of
+/// normal operation.
 constexpr auto use_tuple = boost::asio::as_tuple(boost::asio::use_awaitable);
 
 } // namespace masticcourse::detail
--- a/tests/unit/net_fixture.hpp
+++ b/tests/unit/net_fixture.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What the tests of the network layer share: I/O threads, waiting on conditions, raw loopback sockets.
+/// Shared fixtures for network tests: I/O threads, waiting for conditions, raw loopback sockets.
 #pragma once
 
 #include "masticcourse/net/http_client.hpp"
@@ -25,10 +25,11 @@
 namespace masticcourse::testing
 {
 
-/// Long enough never to be reached on any machine; tests wait on conditions, not on times.
+/// Safety limit for waits. Tests wait for conditions rather than fixed times, so a passing test should never
+/// reach it, even on a slow machine.
 constexpr std::chrono::seconds test_timeout{60};
 
-/// An I/O context with threads that run it.
+/// An I/O context run by a pool of threads.
 class io_threads
 {
   public:
@@ -48,7 +49,7 @@
         stop();
     }
 
-    /// Ends the threads, so that what their callbacks use may go.
+    /// Stops and joins the threads, so that objects used by their callbacks can be destroyed.
     void stop()
     {
         m_context.stop();
@@ -66,7 +67,7 @@
     std::vector<std::jthread> m_threads;
 };
 
-/// A value that callbacks change and tests wait on.
+/// A mutex-protected value that callbacks update and tests wait on.
 template <typename T>
 class synchronized_value
 {
@@ -79,7 +80,7 @@
         m_changed.notify_all();
     }
 
-    /// @return whether the value came to satisfy @a condition
+    /// @return whether @a condition became true for the value within `test_timeout`
     template <typename Condition>
     [[nodiscard]] bool wait(Condition condition)
     {
@@ -99,7 +100,7 @@
     T m_value{};
 };
 
-/// Waits for a condition that nothing announces.
+/// Polls @a condition until it holds or `test_timeout` has passed.
 template <typename Condition>
 [[nodiscard]] bool eventually(Condition condition)
 {
@@ -111,7 +112,7 @@
     return condition();
 }
 
-/// A blocking socket, for bytes that no well-behaved client sends.
+/// A blocking client socket, for sending malformed or partial requests.
 class raw_socket
 {
   public:
@@ -126,7 +127,7 @@
         boost::asio::write(m_socket, boost::asio::buffer(bytes), ignored);
     }
 
-    /// @return all that comes until the other end closes
+    /// @return everything received until the peer closes the connection
     [[nodiscard]] std::string read_all()
     {
         std::string text;
@@ -135,7 +136,7 @@
         return text;
     }
 
-    /// @return all that came until @a mark, and it
+    /// @return everything received up to and including @a delimiter
     [[nodiscard]] std::string read_until_text(const std::string& delimiter)
     {
         std::string text;
@@ -163,7 +164,7 @@
     return "127.0.0.1:" + std::to_string(port);
 }
 
-/// @return the answer, waited for
+/// Sends a request and blocks until its reply arrives.
 [[nodiscard]] inline http_client_reply fetch(http_client& client, http_client_request request)
 {
     const auto done = std::make_shared<std::promise<http_client_reply>>();
--- a/tests/unit/test_fuzz_net.cpp
+++ b/tests/unit/test_fuzz_net.cpp
@@ -1,4 +1,4 @@
-// Properties of the parsers that take bytes from outside, on random input.
+// Property-based tests of the parsers of untrusted input.
 #include "masticcourse/net/frame.hpp"
 #include "masticcourse/net/percent.hpp"
 #include "masticcourse/net/sse.hpp"
@@ -24,7 +24,7 @@
     return all;
 }
 
-/// What a parser made of some bytes.
+/// The output of a parser, and whether it accepted the whole input.
 template <typename Item>
 struct parse_result
 {
@@ -51,7 +51,7 @@
     return result;
 }
 
-/// Text made of the pieces that a stream of events is made of, and of others.
+/// Generates a mix of event stream syntax and arbitrary text.
 rc::Gen<std::string> sse_text()
 {
     return rc::gen::map(
@@ -74,7 +74,7 @@
 
 } // namespace
 
-TEST_CASE("fuzz: events don't depend on how the stream is cut")
+TEST_CASE("fuzz: parsed events do not depend on how the input is split")
 {
     CHECK(rc::check(
         []
@@ -85,7 +85,7 @@
         }));
 }
 
-TEST_CASE("fuzz: no event is longer than the limit")
+TEST_CASE("fuzz: no parsed event exceeds the size limit")
 {
     CHECK(rc::check(
         []
@@ -97,7 +97,7 @@
         }));
 }
 
-TEST_CASE("fuzz: what is formatted is parsed back")
+TEST_CASE("fuzz: formatted events round-trip through the parser")
 {
     CHECK(rc::check(
         [](const std::vector<int>& lines)
@@ -112,7 +112,7 @@
         }));
 }
 
-TEST_CASE("fuzz: frames don't depend on how the stream is cut")
+TEST_CASE("fuzz: decoded frames do not depend on how the input is split")
 {
     CHECK(rc::check(
         [](const pieces& payloads)
@@ -124,7 +124,7 @@
         }));
 }
 
-TEST_CASE("fuzz: arbitrary bytes make no frame over the limit")
+TEST_CASE("fuzz: no frame decoded from arbitrary input exceeds the size limit")
 {
     CHECK(rc::check(
         []
@@ -137,7 +137,7 @@
         }));
 }
 
-TEST_CASE("fuzz: any text survives percent-encoding, and any text may be decoded")
+TEST_CASE("fuzz: percent-encoding round-trips, and decoding tolerates arbitrary input")
 {
     CHECK(rc::check(
         [](const std::string& text)
--- a/tests/unit/test_http.cpp
+++ b/tests/unit/test_http.cpp
@@ -1,4 +1,4 @@
-// The HTTP server and client against each other, and the server against raw bytes.
+// HTTP server and client against each other, and the server against raw input.
 #include "masticcourse/net/http_client.hpp"
 #include "masticcourse/net/http_server.hpp"
 
@@ -24,7 +24,7 @@
     return {.max_body = small_body, .max_header = small_header};
 }
 
-/// A server whose handler may be set per test, and a client.
+/// A server with a configurable handler, and a client.
 struct http_fixture
 {
     explicit http_fixture(http_limits limits = {}, http_handler handler = echo)
@@ -40,7 +40,7 @@
         threads.stop();
     }
 
-    /// Answers with method, target and body.
+    /// Responds with the method, target and body of the request.
     static void echo(const http_request& request, const std::shared_ptr<http_exchange>& exchange)
     {
         exchange->respond({.body = request.method + " " + request.target + " " + request.body,
@@ -57,7 +57,7 @@
     http_client client;
 };
 
-/// The exchanges that a handler kept to answer later.
+/// A handler that stores its exchanges, so that tests can respond to them later.
 struct deferred_exchanges
 {
     synchronized_value<std::vector<std::shared_ptr<http_exchange>>> received;
@@ -75,7 +75,7 @@
     }
 };
 
-/// What a stream has brought so far.
+/// The data received from a stream, and its final reply.
 struct stream_state
 {
     std::string text;
@@ -106,11 +106,11 @@
     }
 };
 
-/// Answers each request but the second, at which it closes the connection after having read it.
+/// Responds to each request except the second one: it reads that request and closes the connection.
 class connection_dropping_server
 {
   public:
-    /// @param connections how many it takes before it ends
+    /// @param connections number of connections to accept before the server exits
     explicit connection_dropping_server(int connections)
         : m_acceptor(m_context, {boost::asio::ip::address_v4::loopback(), 0}),
           m_thread([this, connections] { serve(connections); })
@@ -122,7 +122,8 @@
         return loopback(m_acceptor.local_endpoint().port());
     }
 
-    /// @return the number of requests read, once all connections are over
+    /// Waits for all connections to end.
+    /// @return the number of requests read
     [[nodiscard]] int requests()
     {
         m_thread.join();
@@ -163,7 +164,7 @@
 
 } // namespace
 
-TEST_CASE("http: requests and answers")
+TEST_CASE("http: requests and responses")
 {
     http_fixture it;
     SUBCASE("method, target, body and headers reach the handler")
@@ -179,7 +180,7 @@
         CHECK(reply.header("x-SEEN") == "value");
         CHECK(reply.header("Content-Type") == "application/json");
     }
-    SUBCASE("a large body comes whole")
+    SUBCASE("a large body is received completely")
     {
         const std::string large(3'000'000, 'x');
         const auto reply =
@@ -192,7 +193,7 @@
         CHECK(reply.status == 200);
         CHECK(reply.body.empty());
     }
-    SUBCASE("many requests at once each get their own answer")
+    SUBCASE("concurrent requests each receive their own response")
     {
         constexpr int count = 400;
         synchronized_value<int> correct;
@@ -209,7 +210,7 @@
     }
 }
 
-TEST_CASE("http: one connection carries several requests, pipelined too")
+TEST_CASE("http: one connection carries several requests, including pipelined ones")
 {
     http_fixture it;
     raw_socket socket(it.server.port());
@@ -220,7 +221,7 @@
     CHECK(socket.read_all().ends_with("GET /3 "));
 }
 
-TEST_CASE("http: bad requests are refused with a problem and closed")
+TEST_CASE("http: invalid requests get a problem response and the connection is closed")
 {
     struct row
     {
@@ -255,7 +256,7 @@
     CHECK(fetch(it.client, {.address = it.address()}).status == 200);
 }
 
-TEST_CASE("http: a body at the limit passes, and waits for 100 Continue if it says so")
+TEST_CASE("http: a body at the limit is accepted, and Expect: 100-continue is honoured")
 {
     http_fixture it(small_limits());
     raw_socket socket(it.server.port());
@@ -266,7 +267,7 @@
     CHECK(socket.read_until_text("POST / " + body).starts_with("HTTP/1.1 200 OK"));
 }
 
-TEST_CASE("http: half a request times out; the server says so")
+TEST_CASE("http: an incomplete request times out with a 408 response")
 {
     const std::array partial_requests{"GET / HT", "POST / HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"};
     for (const auto* partial : partial_requests)
@@ -288,7 +289,7 @@
     CHECK(socket.read_all().empty());
 }
 
-TEST_CASE("http: connections over the limit are told so")
+TEST_CASE("http: connections over the limit get a 503 response")
 {
     http_fixture it({.max_connections = 1});
     raw_socket first(it.server.port());
@@ -307,7 +308,7 @@
     CHECK(reply.body.find(R"("ran":"unknown")") != std::string::npos);
 }
 
-TEST_CASE("http: an exchange dropped without an answer closes the connection")
+TEST_CASE("http: an exchange destroyed without a response closes the connection")
 {
     http_fixture it({}, [](const http_request&, const std::shared_ptr<http_exchange>&) {});
     CHECK(fetch(it.client, {.address = it.address(), .method = "POST"}).failure == http_failure::broken);
@@ -324,7 +325,7 @@
     exchange->write("one ");
     REQUIRE(reader.wait_for_text("one "));
 
-    SUBCASE("come piece by piece and end")
+    SUBCASE("parts are delivered as they are written, then the end")
     {
         exchange->write("two ");
         exchange->write("three");
@@ -335,7 +336,7 @@
         CHECK(end.header("content-type") == "text/event-stream");
         CHECK(reader.state.get().text == "one two three");
     }
-    SUBCASE("cancelled by the client: the server hears of it, and the client gets its end")
+    SUBCASE("cancelling notifies the server and ends the stream at the client")
     {
         synchronized_value<bool> closed;
         exchange->on_closed([&] { closed.update([](bool& value) { value = true; }); });
@@ -343,7 +344,7 @@
         CHECK(reader.wait_for_end().failure == http_failure::broken);
         CHECK(closed.wait([](bool value) { return value; }));
     }
-    SUBCASE("a callback set after the caller went is called too")
+    SUBCASE("a callback set after the caller disconnected is called too")
     {
         stream->cancel();
         CHECK(reader.wait_for_end().failure == http_failure::broken);
@@ -351,15 +352,15 @@
         exchange->on_closed([&] { closed.update([](bool& value) { value = true; }); });
         CHECK(closed.wait([](bool value) { return value; }));
     }
-    SUBCASE("one that is cut off is not taken for whole")
+    SUBCASE("a truncated stream is reported as broken")
     {
         exchanges.received.update([](auto& all) { all.clear(); });
         exchange.reset();
         CHECK(reader.wait_for_end().failure == http_failure::broken);
     }
-    SUBCASE("a reader that is too slow is cut off")
+    SUBCASE("a reader that is too slow is disconnected")
     {
-        // Nobody reads on this connection, so that the server's backlog must overflow.
+        // Nothing reads from this connection, so the server's backlog must overflow.
         raw_socket non_reading(it.server.port());
         non_reading.write("GET / HTTP/1.1\r\n\r\n");
         const auto second = exchanges.at(1);
@@ -374,7 +375,7 @@
     }
 }
 
-TEST_CASE("http: an error in answer to a stream comes whole in the reply")
+TEST_CASE("http: an error response to a stream request is returned as a whole in the reply")
 {
     http_fixture it({}, [](const http_request&, const std::shared_ptr<http_exchange>& exchange)
                     { exchange->respond({.status = 503, .body = "refused"}); });
@@ -386,7 +387,7 @@
     CHECK(reader.state.get().text.empty());
 }
 
-TEST_CASE("http: stopping finishes what is under way")
+TEST_CASE("http: stopping completes the requests in progress")
 {
     deferred_exchanges exchanges;
     http_fixture it({.stop_grace = std::chrono::milliseconds{1}}, exchanges.handler());
@@ -406,7 +407,7 @@
     CHECK(fetch(it.client, {.address = it.address()}).failure == http_failure::connect);
 }
 
-TEST_CASE("http: addresses that can't be bound are named")
+TEST_CASE("http: the error for an address that cannot be bound names the address")
 {
     io_threads threads;
     const http_server first(threads.context(), "127.0.0.1:0", {}, http_fixture::echo);
@@ -419,16 +420,16 @@
     threads.stop();
 }
 
-TEST_CASE("http client: failures say what may have run")
+TEST_CASE("http client: failures distinguish connect errors from time-outs")
 {
-    SUBCASE("nobody listens")
+    SUBCASE("nothing listens on the address")
     {
         io_threads threads;
         http_client client(threads.context());
         CHECK(fetch(client, {.address = "127.0.0.1:1"}).failure == http_failure::connect);
         CHECK(fetch(client, {.address = "no address"}).failure == http_failure::connect);
     }
-    SUBCASE("no answer in time")
+    SUBCASE("no response in time")
     {
         deferred_exchanges exchanges;
         http_fixture it({}, exchanges.handler());
@@ -438,7 +439,7 @@
     }
 }
 
-TEST_CASE("http client: only what may run twice is sent again on a fresh connection")
+TEST_CASE("http client: only idempotent requests are resent on a new connection")
 {
     struct row
     {
@@ -463,7 +464,7 @@
     }
 }
 
-TEST_CASE("a body whose length two readers could take differently is refused, and nothing behind it is read")
+TEST_CASE("http: a request with an ambiguous body length is rejected and the bytes after it are not parsed")
 {
     http_fixture fixture;
     for (const auto* encoding : {"identity", "gzip", "chunked, identity", "xchunked", "gzip, chunked"})
@@ -478,7 +479,7 @@
     }
 }
 
-TEST_CASE("answers that belong to other requests are dropped")
+TEST_CASE("http client: responses that belong to other requests are discarded")
 {
     io_threads threads;
     boost::asio::io_context context;
@@ -502,7 +503,7 @@
     threads.stop();
 }
 
-TEST_CASE("a server that announces its end takes new connections and closes each after its answer")
+TEST_CASE("http: after announce_close, new connections are accepted and closed after their first response")
 {
     http_fixture fixture;
     fixture.server.announce_close();
--- a/tests/unit/test_peer_link.cpp
+++ b/tests/unit/test_peer_link.cpp
@@ -1,4 +1,4 @@
-// Framed links between processes.
+// Framed links between processes over loopback sockets.
 #include "masticcourse/net/peer_link.hpp"
 
 #include "net_fixture.hpp"
@@ -24,7 +24,7 @@
     int open_count = 0;
 };
 
-/// One end of a link and what it has been told.
+/// One end of a link, recording its callbacks.
 struct link_end
 {
     synchronized_value<link_events> events;
@@ -51,7 +51,7 @@
     }
 };
 
-/// A listener that keeps the one link it gets.
+/// A listener that starts and stores the accepted link.
 struct link_fixture
 {
     explicit link_fixture(peer_link_limits limits = {})
@@ -94,7 +94,7 @@
 
 } // namespace
 
-TEST_CASE("peer_link: frames arrive whole, in order, both ways")
+TEST_CASE("peer_link: frames arrive complete and in order in both directions")
 {
     link_fixture it;
     const auto link = it.connect();
@@ -107,7 +107,7 @@
     CHECK(it.server.events.get().open_count == 1);
 }
 
-TEST_CASE("peer_link: many threads may send")
+TEST_CASE("peer_link: several threads may send concurrently")
 {
     constexpr std::size_t senders = 4;
     constexpr std::size_t frames_per_sender = 500;
@@ -138,12 +138,12 @@
     CHECK(frames == expected);
 }
 
-TEST_CASE("peer_link: torn and oversized frames")
+TEST_CASE("peer_link: partial and oversized frames")
 {
     constexpr std::size_t limit = 100;
     link_fixture it({.max_frame = limit});
     raw_socket socket(it.listener.port());
-    SUBCASE("a frame in pieces is put together")
+    SUBCASE("a frame received in several parts is reassembled")
     {
         for (const char byte : std::string("\0\0\0\3abc", 7))
         {
@@ -151,7 +151,7 @@
         }
         CHECK(it.server.wait_for_frames({"abc"}));
     }
-    SUBCASE("a frame cut off is never handed out")
+    SUBCASE("a truncated frame is never delivered")
     {
         socket.write(std::string("\0\0\0\3ab", 6));
         socket.close();
@@ -166,17 +166,17 @@
     }
 }
 
-TEST_CASE("peer_link: limits of the sender")
+TEST_CASE("peer_link: send limits")
 {
     link_fixture it;
-    SUBCASE("a frame too long to send closes the link")
+    SUBCASE("sending a frame over the limit closes the link")
     {
         it.connect({.max_frame = 10})->send(std::string(11, 'x'));
         CHECK(it.client.wait_for_close().find("over the limit") != std::string::npos);
     }
-    SUBCASE("a queue over its limit closes the link")
+    SUBCASE("a send queue over its limit closes the link")
     {
-        // Before the connection stands, nothing can leave the queue.
+        // Nothing can leave the queue before the connection is established.
         const auto link = it.connect({.max_queued = 1000});
         const std::string frame(600, 'x');
         link->send(frame);
@@ -191,7 +191,7 @@
     const auto link = it.connect();
     link->send("hello");
     REQUIRE(it.server.wait_for_frames({"hello"}));
-    SUBCASE("each end hears of it once")
+    SUBCASE("each end is notified once")
     {
         link->close();
         link->close();
@@ -200,7 +200,7 @@
         link->send("late");
         CHECK(it.client.events.get().close_reasons.size() == 1);
     }
-    SUBCASE("the accepting end may close")
+    SUBCASE("the accepting end can close")
     {
         CHECK(it.accepted_link()->remote_address().starts_with("127.0.0.1:"));
         it.accepted_link()->close();
@@ -208,7 +208,7 @@
     }
 }
 
-TEST_CASE("peer_link: what can't be connected to is reported")
+TEST_CASE("peer_link: a failed connection attempt is reported")
 {
     for (const auto* address : {"127.0.0.1:1", "nowhere"})
     {
--- a/tests/unit/test_rpc.cpp
+++ b/tests/unit/test_rpc.cpp
@@ -1,4 +1,4 @@
-// JSON-RPC: server and client against each other, and the server against malformed text.
+// JSON-RPC: server and client against each other, and the server against malformed requests.
 #include "masticcourse/net/rpc.hpp"
 
 #include <doctest/doctest.h>
@@ -13,7 +13,7 @@
 
 constexpr int custom_error_id = 401;
 
-/// A server with one method of each kind.
+/// A server with methods that return, throw and return malformed JSON.
 struct rpc_fixture
 {
     rpc_fixture()
@@ -47,7 +47,7 @@
 
 } // namespace
 
-TEST_CASE("rpc: results come back as they were")
+TEST_CASE("rpc: results are returned unchanged")
 {
     rpc_fixture it;
     const std::array texts{R"({"a":[1,2.5,"x"],"b":null})", "[]", R"(["\u00e9\n"])", "null",
@@ -61,7 +61,7 @@
     CHECK(it.client.call("echo", R"({"n": 9007199254740993})") == R"({"n":9007199254740993})");
 }
 
-TEST_CASE("rpc: failures have ids")
+TEST_CASE("rpc: failures are reported by id")
 {
     struct row
     {
@@ -85,7 +85,7 @@
     CHECK_THROWS_AS(it.server.add_method("echo", nullptr), std::invalid_argument);
 }
 
-TEST_CASE("rpc: a transport that fails is told from a method that does")
+TEST_CASE("rpc: transport failures are distinguished from method failures")
 {
     rpc_client failing([](const std::string&) -> std::string
                        { throw std::runtime_error("connection lost"); });
@@ -98,7 +98,7 @@
     }
 }
 
-TEST_CASE("rpc: malformed requests are answered with errors")
+TEST_CASE("rpc: malformed requests get error responses")
 {
     rpc_fixture it;
     const std::array texts{"",
--- a/tests/unit/test_rpc_http.cpp
+++ b/tests/unit/test_rpc_http.cpp
@@ -1,4 +1,4 @@
-// JSON-RPC over the project's HTTP server and client.
+// JSON-RPC over the HTTP server and client.
 #include "masticcourse/net/http_server.hpp"
 #include "masticcourse/net/rpc_http.hpp"
 
@@ -16,7 +16,7 @@
 
 constexpr int custom_error_id = 401;
 
-/// A server with methods that answer and that refuse, and who it believes its caller is.
+/// A server with one method that succeeds and one that fails, which requires a bearer token.
 struct rpc_http_fixture
 {
     rpc_http_fixture()
@@ -69,7 +69,7 @@
 
 } // namespace
 
-TEST_CASE("rpc over HTTP: calls, and failures by their ids")
+TEST_CASE("rpc over HTTP: calls return results, and failures keep their ids")
 {
     const rpc_http_fixture it;
     rpc_client client(make_http_transport(it.endpoint()));
@@ -78,7 +78,7 @@
     CHECK(error_id_of(client, "unknown") == static_cast<int>(rpc_error_id::method_not_found));
 }
 
-TEST_CASE("rpc over HTTP: what the transport meets is no method's error")
+TEST_CASE("rpc over HTTP: HTTP failures are reported as transport errors")
 {
     const rpc_http_fixture it;
     auto without_token = it.endpoint();
@@ -89,7 +89,7 @@
     CHECK(error_id_of(unreachable, "echo") == static_cast<int>(rpc_error_id::transport));
 }
 
-TEST_CASE("rpc over HTTP: only POST is a call")
+TEST_CASE("rpc over HTTP: only POST is accepted")
 {
     rpc_server methods;
     const auto answer = handle_rpc_request(methods, {.method = "GET", .target = "/rpc"});
--- a/tests/unit/test_sse.cpp
+++ b/tests/unit/test_sse.cpp
@@ -1,4 +1,4 @@
-// Server-sent events: parsing by table, split at every byte, and formatting.
+// Server-sent events: table-driven parsing with the input split at every byte, and formatting.
 #include "masticcourse/net/sse.hpp"
 
 #include <doctest/doctest.h>
@@ -15,7 +15,7 @@
 
 using events = std::vector<sse_event>;
 
-/// Parses @a text in two pieces.
+/// Parses @a text in two parts, split at position @a split.
 events parse(std::string_view text, std::size_t split)
 {
     events found;
@@ -65,7 +65,7 @@
     }
 }
 
-TEST_CASE("sse: what is formatted is parsed back")
+TEST_CASE("sse: formatted events round-trip through the parser")
 {
     const std::array<sse_event, 4> table{sse_event{.id = "1", .event = "token", .data = "text"},
                                          sse_event{.data = ""}, sse_event{.data = "a\nb\n\nc\n"},
@@ -76,7 +76,7 @@
     }
 }
 
-TEST_CASE("sse: an event over the limit ends the stream")
+TEST_CASE("sse: parsing stops at an event over the size limit")
 {
     int count = 0;
     sse_parser parser([&count](const sse_event&) { ++count; }, 10);
