--- a/include/masticcourse/core/problem.hpp
+++ b/include/masticcourse/core/problem.hpp
@@ -42,7 +42,7 @@
     budget_exceeded = 205,
     turn_limit = 206,
     repeated_call = 207,
-    history_behind = 208,
+    history_not_recovered = 208,
     // 3xx: targets
     unknown_service = 301,
     no_target = 302,
--- a/include/masticcourse/settings/config_document.hpp
+++ b/include/masticcourse/settings/config_document.hpp
@@ -77,22 +77,22 @@
 /// @}
 
 /// One thing wrong with a document or a patch.
-struct config_fault
+struct config_error
 {
     /// Where, as a JSON pointer (RFC 6901); empty for the whole.
     std::string pointer;
     std::string message;
-    friend bool operator==(const config_fault&, const config_fault&) = default;
+    friend bool operator==(const config_error&, const config_error&) = default;
 };
 
 /// A valid document as canonical text: the same content always has the same text.
-struct config_accepted
+struct accepted_config
 {
     std::string document;
 };
 
 /// A document, or all that is wrong with it at once.
-using config_result = std::variant<config_accepted, std::vector<config_fault>>;
+using config_result = std::variant<accepted_config, std::vector<config_error>>;
 
 /// Most bytes of a patch or a document.
 inline constexpr std::size_t max_config_size = std::size_t{256} << 10U;
@@ -113,6 +113,6 @@
 [[nodiscard]] std::string config_reference();
 
 /// @return all faults in one line, for a problem's detail
-[[nodiscard]] std::string to_string(const std::vector<config_fault>& faults);
+[[nodiscard]] std::string to_string(const std::vector<config_error>& errors);
 
 } // namespace masticcourse
--- a/include/masticcourse/settings/settings.hpp
+++ b/include/masticcourse/settings/settings.hpp
@@ -118,7 +118,7 @@
 };
 
 /// One fault of a settings file.
-struct settings_fault
+struct settings_diagnostic
 {
     std::string file;
     /// From 1; 0 where the fault has no place, such as a missing file.
@@ -128,7 +128,7 @@
     std::string message;
 };
 
-using settings_result = std::variant<deployment_settings, std::vector<settings_fault>>;
+using settings_result = std::variant<deployment_settings, std::vector<settings_diagnostic>>;
 
 /// Reads a settings file and the tokens file that it names.
 /// @return the settings, or all faults at once in order of their place
@@ -138,7 +138,7 @@
 [[nodiscard]] settings_result parse_settings(const std::string& text, const std::string& file_name);
 
 /// @return the fault as `file:line: key: message`
-[[nodiscard]] std::string to_string(const settings_fault& fault);
+[[nodiscard]] std::string to_string(const settings_diagnostic& diagnostic);
 
 /// @return the reference of all keys, as it stands in docs/operators/settings.md
 [[nodiscard]] std::string settings_reference();
--- a/include/masticcourse/settings/token.hpp
+++ b/include/masticcourse/settings/token.hpp
@@ -8,6 +8,6 @@
 {
 
 /// Compares two tokens in a time that depends on their lengths only. An empty token equals nothing.
-[[nodiscard]] bool same_token(std::string_view a, std::string_view b);
+[[nodiscard]] bool tokens_equal(std::string_view a, std::string_view b);
 
 } // namespace masticcourse
--- a/include/masticcourse/store/store_op.hpp
+++ b/include/masticcourse/store/store_op.hpp
@@ -74,7 +74,7 @@
     /// Refused (outage, rate limit): nothing was written.
     unavailable,
     /// No answer: a write may have taken effect or not.
-    lost,
+    outcome_unknown,
 };
 
 struct table_row
--- a/src/cli/check_command.cpp
+++ b/src/cli/check_command.cpp
@@ -17,12 +17,12 @@
     options.add_options()("markdown", "write the reference of all keys instead");
 }
 
-nlohmann::json fault_json(const settings_fault& fault)
+nlohmann::json fault_json(const settings_diagnostic& fault)
 {
     return {{"file", fault.file}, {"line", fault.line}, {"key", fault.key}, {"message", fault.message}};
 }
 
-void write_faults(const std::vector<settings_fault>& faults, bool as_json, console& to)
+void write_faults(const std::vector<settings_diagnostic>& faults, bool as_json, console& to)
 {
     auto rows = nlohmann::json::array();
     for (const auto& it : faults)
@@ -54,7 +54,7 @@
     }
     const bool as_json = options.count("json") != 0;
     const auto result = read_settings(path);
-    if (const auto* const faults = std::get_if<std::vector<settings_fault>>(&result))
+    if (const auto* const faults = std::get_if<std::vector<settings_diagnostic>>(&result))
     {
         write_faults(*faults, as_json, to);
         return exit_code::usage;
--- a/src/cli/deployment_access.cpp
+++ b/src/cli/deployment_access.cpp
@@ -80,7 +80,7 @@
 std::optional<deployment_settings> load_settings(const std::string& path, console& to)
 {
     auto result = read_settings(path);
-    if (const auto* const faults = std::get_if<std::vector<settings_fault>>(&result))
+    if (const auto* const faults = std::get_if<std::vector<settings_diagnostic>>(&result))
     {
         for (const auto& it : *faults)
         {
--- a/src/control/entry_calls.cpp
+++ b/src/control/entry_calls.cpp
@@ -83,7 +83,7 @@
     }
     if (call.after && *call.after > program.turns.size())
     {
-        return {problem_id::history_behind, ran_state::no,
+        return {problem_id::history_not_recovered, ran_state::no,
                 "this home knows " + std::to_string(program.turns.size()) + " turns, the caller has seen " +
                     std::to_string(*call.after),
                 retry_soon};
--- a/src/control/entry_config.cpp
+++ b/src/control/entry_config.cpp
@@ -121,12 +121,12 @@
                         fault](const std::string& document) -> std::optional<std::string>
     {
         auto result = apply_merge_patch(document, patch);
-        if (const auto* const faults = std::get_if<std::vector<config_fault>>(&result))
+        if (const auto* const faults = std::get_if<std::vector<config_error>>(&result))
         {
             *fault = to_string(*faults);
             return std::nullopt;
         }
-        return std::get<config_accepted>(std::move(result)).document;
+        return std::get<accepted_config>(std::move(result)).document;
     };
     row.machine =
         config_patch{request.expected, state.options.incarnation.value + "/" + std::to_string(id), apply, {}};
--- a/src/control/entry_store.cpp
+++ b/src/control/entry_store.cpp
@@ -27,7 +27,7 @@
 
 void note_reachability(entry_state& state, store_status status)
 {
-    const bool away = status == store_status::unavailable || status == store_status::lost;
+    const bool away = status == store_status::unavailable || status == store_status::outcome_unknown;
     if (away && !state.store_away_since)
     {
         state.store_away_since = state.now;
@@ -158,7 +158,7 @@
     for (const auto id : late)
     {
         state.relayed.erase(id);
-        finish(state, id, {.status = store_status::lost});
+        finish(state, id, {.status = store_status::outcome_unknown});
     }
 }
 
--- a/src/control/target_peers.cpp
+++ b/src/control/target_peers.cpp
@@ -142,7 +142,7 @@
 void take_store_done(target_state& s, store_done input)
 {
     const auto status = input.reply.status;
-    s.store_reachable = status != store_status::lost && status != store_status::unavailable;
+    s.store_reachable = status != store_status::outcome_unknown && status != store_status::unavailable;
     const auto it = s.relays.find(input.id);
     if (it != s.relays.end())
     {
--- a/src/core/problem.cpp
+++ b/src/core/problem.cpp
@@ -32,7 +32,7 @@
     problem_row{problem_id::budget_exceeded, 402, "budget exceeded"},
     problem_row{problem_id::turn_limit, 409, "turn limit reached"},
     problem_row{problem_id::repeated_call, 409, "the same call repeats without end"},
-    problem_row{problem_id::history_behind, 503, "history not yet recovered"},
+    problem_row{problem_id::history_not_recovered, 503, "history not yet recovered"},
     problem_row{problem_id::unknown_service, 422, "unknown service"},
     problem_row{problem_id::no_target, 503, "no target available"},
     problem_row{problem_id::target_refused, 503, "target refused"},
--- a/src/daemon/caller_desk.cpp
+++ b/src/daemon/caller_desk.cpp
@@ -89,11 +89,11 @@
         return {};
     }
     const auto token = std::string_view{header}.substr(bearer.size());
-    identity found{.known = same_token(token, m_operator_token), .operators = true};
+    identity found{.known = tokens_equal(token, m_operator_token), .operators = true};
     // All are compared, so that the time does not tell which one matched.
     for (const auto& it : m_workspaces)
     {
-        if (same_token(token, it.token))
+        if (tokens_equal(token, it.token))
         {
             found = {.known = true, .operators = false, .workspace = it.id};
         }
--- a/src/daemon/daemon_main.cpp
+++ b/src/daemon/daemon_main.cpp
@@ -47,7 +47,7 @@
 int run_daemon(const std::string& program, const daemon_arguments& arguments, const daemon_body& body)
 {
     const auto read = read_settings(arguments.settings);
-    if (const auto* const faults = std::get_if<std::vector<settings_fault>>(&read))
+    if (const auto* const faults = std::get_if<std::vector<settings_diagnostic>>(&read))
     {
         for (const auto& it : *faults)
         {
--- a/src/input/guarded_json.cpp
+++ b/src/input/guarded_json.cpp
@@ -12,7 +12,7 @@
 using nlohmann::json;
 
 /// Watches a parse for what the parser itself lets pass.
-class parse_guard
+class json_validator
 {
   public:
     /// @return whether the parser may keep the value
@@ -21,17 +21,17 @@
         switch (event)
         {
         case json::parse_event_t::object_start:
-            m_names.emplace_back();
+            m_member_names.emplace_back();
             check_depth(depth);
             break;
         case json::parse_event_t::array_start:
             check_depth(depth);
             break;
         case json::parse_event_t::object_end:
-            m_names.pop_back();
+            m_member_names.pop_back();
             break;
         case json::parse_event_t::key:
-            check_name(parsed.get_ref<const std::string&>());
+            check_duplicate_member(parsed.get_ref<const std::string&>());
             break;
         case json::parse_event_t::array_end:
         case json::parse_event_t::value:
@@ -54,33 +54,33 @@
         }
     }
 
-    void check_name(const std::string& name)
+    void check_duplicate_member(const std::string& name)
     {
-        if (!m_names.back().insert(name).second)
+        if (!m_member_names.back().insert(name).second)
         {
             m_error = "a member stands twice: " + name;
         }
     }
 
-    std::vector<std::set<std::string>> m_names;
+    std::vector<std::set<std::string>> m_member_names;
     std::string m_error;
 };
 
 } // namespace
 
-guarded_json parse_guarded(const std::string& text, std::size_t max_size)
+json_parse_result parse_bounded_json(const std::string& text, std::size_t max_size)
 {
     if (text.size() > max_size)
     {
         return {{}, "longer than " + std::to_string(max_size) + " bytes"};
     }
-    parse_guard guard;
-    const auto watch = [&](int depth, json::parse_event_t event, const json& parsed)
-    { return guard.on_event(depth, event, parsed); };
-    json value = json::parse(text, watch, false);
-    if (!guard.error().empty())
+    json_validator validator;
+    const auto callback = [&](int depth, json::parse_event_t event, const json& parsed)
+    { return validator.on_event(depth, event, parsed); };
+    json value = json::parse(text, callback, false);
+    if (!validator.error().empty())
     {
-        return {{}, guard.error()};
+        return {{}, validator.error()};
     }
     if (value.is_discarded())
     {
--- a/src/input/guarded_json.hpp
+++ b/src/input/guarded_json.hpp
@@ -14,7 +14,7 @@
 inline constexpr int max_json_depth = 32;
 
 /// A value, or why there is none.
-struct guarded_json
+struct json_parse_result
 {
     nlohmann::json value;
     /// Empty if the text is good.
@@ -22,6 +22,6 @@
 };
 
 /// Refuses texts that are too long, too deep, no JSON, no UTF-8, or that name a member twice.
-[[nodiscard]] guarded_json parse_guarded(const std::string& text, std::size_t max_size);
+[[nodiscard]] json_parse_result parse_bounded_json(const std::string& text, std::size_t max_size);
 
 } // namespace masticcourse::detail
--- a/src/input/json_members.cpp
+++ b/src/input/json_members.cpp
@@ -15,9 +15,9 @@
 
 using nlohmann::json;
 
-std::string range_text(const member_rule& rule)
+std::string describe_range(const member_rule& rule)
 {
-    return "from " + std::to_string(rule.least) + " to " + std::to_string(rule.most);
+    return "from " + std::to_string(rule.minimum) + " to " + std::to_string(rule.maximum);
 }
 
 std::string join(std::span<const std::string_view> names)
@@ -32,82 +32,82 @@
 
 bool in_range(const json& value, const member_rule& rule)
 {
-    constexpr auto greatest = static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max());
-    if (value.is_number_unsigned() && value.get<std::uint64_t>() > greatest)
+    constexpr auto int64_max = static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max());
+    if (value.is_number_unsigned() && value.get<std::uint64_t>() > int64_max)
     {
         return false;
     }
     const auto number = value.get<std::int64_t>();
-    return number >= rule.least && number <= rule.most;
+    return number >= rule.minimum && number <= rule.maximum;
 }
 
-std::optional<std::string> text_member_fault(const json& value, const member_rule& rule)
+std::optional<std::string> validate_string(const json& value, const member_rule& rule)
 {
     if (!value.is_string())
     {
         return "must be a text";
     }
     const auto size = static_cast<std::int64_t>(value.get_ref<const std::string&>().size());
-    if (size < rule.least || size > rule.most)
+    if (size < rule.minimum || size > rule.maximum)
     {
-        return "must have " + range_text(rule) + " bytes";
+        return "must have " + describe_range(rule) + " bytes";
     }
     return std::nullopt;
 }
 
-std::optional<std::string> name_fault(const json& value)
+std::optional<std::string> validate_name(const json& value)
 {
     if (!value.is_string())
     {
         return "must be a text";
     }
-    return text_fault(text_format::name, value.get_ref<const std::string&>());
+    return validate_text(text_format::name, value.get_ref<const std::string&>());
 }
 
-std::optional<std::string> integer_fault(const json& value, const member_rule& rule)
+std::optional<std::string> validate_integer(const json& value, const member_rule& rule)
 {
     if (!value.is_number_integer() || !in_range(value, rule))
     {
-        return "must be an integer " + range_text(rule);
+        return "must be an integer " + describe_range(rule);
     }
     return std::nullopt;
 }
 
-std::optional<std::string> choice_fault(const json& value, std::span<const std::string_view> names)
+std::optional<std::string> validate_choice(const json& value, std::span<const std::string_view> names)
 {
     const bool known =
         value.is_string() && std::ranges::find(names, value.get_ref<const std::string&>()) != names.end();
     return known ? std::nullopt : std::optional{"must be one of " + join(names)};
 }
 
-std::optional<std::string> value_fault(const json& value, const member_rule& rule)
+std::optional<std::string> validate_value(const json& value, const member_rule& rule)
 {
     switch (rule.type)
     {
-    case member_type::text:
-        return text_member_fault(value, rule);
+    case member_type::string:
+        return validate_string(value, rule);
     case member_type::name:
-        return name_fault(value);
+        return validate_name(value);
     case member_type::boolean:
         return value.is_boolean() ? std::nullopt : std::optional<std::string>{"must be true or false"};
     case member_type::integer:
-        return integer_fault(value, rule);
+        return validate_integer(value, rule);
     case member_type::kind:
-        return choice_fault(value, call_kind_names());
+        return validate_choice(value, call_kind_names());
     case member_type::priority:
-        return choice_fault(value, service_class_names());
+        return validate_choice(value, service_class_names());
     }
     return std::nullopt;
 }
 
-void check_unknown(const json& object, const std::string& pointer, std::span<const member_rule> rules,
-                   std::vector<config_fault>& faults)
+void check_unknown_members(const json& object, const std::string& pointer, std::span<const member_rule> rules,
+                           std::vector<config_error>& errors)
 {
     for (const auto& [name, value] : object.items())
     {
         if (std::ranges::find(rules, std::string_view{name}, &member_rule::name) == rules.end())
         {
-            faults.push_back({member_pointer(pointer, name), "unknown member"});
+            errors.push_back({member_pointer(pointer, name), "unknown member"});
         }
     }
 }
@@ -118,14 +118,14 @@
 {
     switch (rule.type)
     {
-    case member_type::text:
-        return "text of " + range_text(rule) + " bytes";
+    case member_type::string:
+        return "text of " + describe_range(rule) + " bytes";
     case member_type::name:
         return "name";
     case member_type::boolean:
         return "true or false";
     case member_type::integer:
-        return "integer " + range_text(rule);
+        return "integer " + describe_range(rule);
     case member_type::kind:
         return join(call_kind_names());
     case member_type::priority:
@@ -150,12 +150,12 @@
 }
 
 bool check_members(const json& object, const std::string& pointer, std::span<const member_rule> rules,
-                   std::vector<config_fault>& faults)
+                   std::vector<config_error>& errors)
 {
-    const auto before = faults.size();
+    const auto errors_before = errors.size();
     if (!object.is_object())
     {
-        faults.push_back({pointer, "must be an object"});
+        errors.push_back({pointer, "must be an object"});
         return false;
     }
     for (const auto& rule : rules)
@@ -165,16 +165,16 @@
         {
             if (rule.required)
             {
-                faults.push_back({member_pointer(pointer, rule.name), "missing"});
+                errors.push_back({member_pointer(pointer, rule.name), "missing"});
             }
         }
-        else if (const auto wrong = value_fault(*it, rule))
+        else if (const auto error = validate_value(*it, rule))
         {
-            faults.push_back({member_pointer(pointer, rule.name), *wrong});
+            errors.push_back({member_pointer(pointer, rule.name), *error});
         }
     }
-    check_unknown(object, pointer, rules, faults);
-    return faults.size() == before;
+    check_unknown_members(object, pointer, rules, errors);
+    return errors.size() == errors_before;
 }
 
 std::optional<call_kind> read_kind(const json& object, std::string_view name)
@@ -189,7 +189,7 @@
     return text ? parse_service_class(*text) : std::nullopt;
 }
 
-std::optional<std::chrono::milliseconds> read_ms(const json& object, std::string_view name)
+std::optional<std::chrono::milliseconds> read_milliseconds(const json& object, std::string_view name)
 {
     const auto count = read_member<std::int64_t>(object, name);
     return count ? std::optional{std::chrono::milliseconds{*count}} : std::nullopt;
--- a/src/input/json_members.hpp
+++ b/src/input/json_members.hpp
@@ -18,7 +18,7 @@
 
 enum class member_type : std::uint8_t
 {
-    text,
+    string,
     /// A text of 1 to 64 letters, digits, `-`, `_` and `.`.
     name,
     boolean,
@@ -31,11 +31,11 @@
 struct member_rule
 {
     std::string_view name;
-    member_type type = member_type::text;
+    member_type type = member_type::string;
     bool required = false;
     /// Least and greatest integer; for a text, its bytes.
-    std::int64_t least = 0;
-    std::int64_t most = 0;
+    std::int64_t minimum = 0;
+    std::int64_t maximum = 0;
     /// For the operators' pages.
     std::string_view doc;
 };
@@ -49,7 +49,7 @@
 /// Checks an object against its rules; members without a rule are faults too.
 /// @return whether no fault was added
 bool check_members(const nlohmann::json& object, const std::string& pointer,
-                   std::span<const member_rule> rules, std::vector<config_fault>& faults);
+                   std::span<const member_rule> rules, std::vector<config_error>& errors);
 
 /// @return the member's value if it is there; the object must have passed its check
 template <typename Value>
@@ -63,8 +63,8 @@
 /// @{
 [[nodiscard]] std::optional<call_kind> read_kind(const nlohmann::json& object, std::string_view name);
 [[nodiscard]] std::optional<service_class> read_priority(const nlohmann::json& object, std::string_view name);
-[[nodiscard]] std::optional<std::chrono::milliseconds> read_ms(const nlohmann::json& object,
-                                                               std::string_view name);
+[[nodiscard]] std::optional<std::chrono::milliseconds> read_milliseconds(const nlohmann::json& object,
+                                                                         std::string_view name);
 /// @}
 
 } // namespace masticcourse::detail
--- a/src/messages/store_members.hpp
+++ b/src/messages/store_members.hpp
@@ -70,7 +70,7 @@
     "get", "put", "list", "create", "read", "delete", "keys"};
 
 template <>
-inline constexpr unsigned max_enum_value<store_status> = static_cast<unsigned>(store_status::lost);
+inline constexpr unsigned max_enum_value<store_status> = static_cast<unsigned>(store_status::outcome_unknown);
 
 } // namespace codec
 
--- a/src/model/call.cpp
+++ b/src/model/call.cpp
@@ -32,12 +32,12 @@
 token_count estimate_tokens(const std::string& text)
 {
     token_count words = 0;
-    bool inside = false;
+    bool in_word = false;
     for (const char c : text)
     {
         const bool space = is_space(c);
-        words += (!space && !inside) ? 1 : 0;
-        inside = !space;
+        words += (!space && !in_word) ? 1 : 0;
+        in_word = !space;
     }
     return words;
 }
--- a/src/settings/config_document.cpp
+++ b/src/settings/config_document.cpp
@@ -20,7 +20,7 @@
 using detail::member_type;
 using nlohmann::json;
 
-constexpr std::int64_t max_ms = 3'600'000;
+constexpr std::int64_t max_deadline_ms = 3'600'000;
 constexpr std::int64_t max_tokens = 1'000'000'000;
 
 constexpr std::array service_rules{
@@ -32,16 +32,16 @@
         .doc = "Whether a call that doesn't say so may be run again; if left out, true for models only."},
     member_rule{.name = "default_deadline_ms",
                 .type = member_type::integer,
-                .least = 1,
-                .most = max_ms,
+                .minimum = 1,
+                .maximum = max_deadline_ms,
                 .doc = "Deadline of a call that names none."},
 };
 
 constexpr std::array workspace_rules{
     member_rule{.name = "max_budget",
                 .type = member_type::integer,
-                .least = 1,
-                .most = max_tokens,
+                .minimum = 1,
+                .maximum = max_tokens,
                 .doc = "Most tokens that one program may be given."},
     member_rule{.name = "class",
                 .type = member_type::priority,
@@ -56,13 +56,13 @@
 constexpr std::array limits_rules{
     member_rule{.name = "turn_limit",
                 .type = member_type::integer,
-                .least = 1,
-                .most = 100'000,
+                .minimum = 1,
+                .maximum = 100'000,
                 .doc = "Turns that one program may have."},
     member_rule{.name = "repeat_limit",
                 .type = member_type::integer,
-                .least = 2,
-                .most = 1000,
+                .minimum = 2,
+                .maximum = 1000,
                 .doc = "Times that one program may make the same call."},
 };
 
@@ -81,77 +81,77 @@
     section_rule{"targets", "NAME", target_rules},
 };
 
-constexpr std::string_view limits_name = "limits";
+constexpr std::string_view limits_section = "limits";
 
-void check_section(const json& section, const section_rule& rule, std::vector<config_fault>& faults)
+void check_section(const json& section, const section_rule& rule, std::vector<config_error>& errors)
 {
     const std::string pointer = detail::member_pointer("", rule.name);
     if (!section.is_object())
     {
-        faults.push_back({pointer, "must be an object"});
+        errors.push_back({pointer, "must be an object"});
         return;
     }
     for (const auto& [name, value] : section.items())
     {
         const std::string element = detail::member_pointer(pointer, name);
-        if (const auto wrong = detail::text_fault(detail::text_format::name, name))
+        if (const auto error = detail::validate_text(detail::text_format::name, name))
         {
-            faults.push_back({element, "its name " + *wrong});
+            errors.push_back({element, "its name " + *error});
         }
-        detail::check_members(value, element, rule.rules, faults);
+        detail::check_members(value, element, rule.rules, errors);
     }
 }
 
-void check_sections(const json& document, std::vector<config_fault>& faults)
+void check_sections(const json& document, std::vector<config_error>& errors)
 {
     for (const auto& [name, value] : document.items())
     {
         const auto* const it = std::ranges::find(sections, std::string_view{name}, &section_rule::name);
         if (it != sections.end())
         {
-            check_section(value, *it, faults);
+            check_section(value, *it, errors);
         }
-        else if (name == limits_name)
+        else if (name == limits_section)
         {
-            detail::check_members(value, detail::member_pointer("", limits_name), limits_rules, faults);
+            detail::check_members(value, detail::member_pointer("", limits_section), limits_rules, errors);
         }
         else
         {
-            faults.push_back({detail::member_pointer("", name), "unknown member"});
+            errors.push_back({detail::member_pointer("", name), "unknown member"});
         }
     }
 }
 
-std::vector<config_fault> faults_of(const json& document)
+std::vector<config_error> validate_document(const json& document)
 {
-    std::vector<config_fault> faults;
+    std::vector<config_error> errors;
     if (!document.is_object())
     {
-        faults.push_back({"", "must be an object"});
-        return faults;
+        errors.push_back({"", "must be an object"});
+        return errors;
     }
-    check_sections(document, faults);
-    return faults;
+    check_sections(document, errors);
+    return errors;
 }
 
-config_result accept(const json& document)
+config_result validate_and_serialize(const json& document)
 {
-    auto faults = faults_of(document);
-    if (!faults.empty())
+    auto errors = validate_document(document);
+    if (!errors.empty())
     {
-        return faults;
+        return errors;
     }
     std::string text = document.dump();
     if (text.size() > max_config_size)
     {
-        return std::vector{config_fault{"", "longer than " + std::to_string(max_config_size) + " bytes"}};
+        return std::vector{config_error{"", "longer than " + std::to_string(max_config_size) + " bytes"}};
     }
-    return config_accepted{std::move(text)};
+    return accepted_config{std::move(text)};
 }
 
-config_result reject(std::string message)
+config_result make_error(std::string message)
 {
-    return std::vector{config_fault{"", std::move(message)}};
+    return std::vector{config_error{"", std::move(message)}};
 }
 
 service_config read_service(const std::string& name, const json& value)
@@ -161,7 +161,8 @@
     // Nobody said that an action may be repeated; generating an answer again harms nobody.
     row.idempotent_default =
         detail::read_member<bool>(value, "idempotent_default").value_or(row.kind == call_kind::model);
-    row.default_deadline = detail::read_ms(value, "default_deadline_ms").value_or(row.default_deadline);
+    row.default_deadline =
+        detail::read_milliseconds(value, "default_deadline_ms").value_or(row.default_deadline);
     return row;
 }
 
@@ -183,7 +184,7 @@
 limits_config read_limits(const json& document)
 {
     limits_config limits;
-    const json section = document.value(limits_name, json::object());
+    const json section = document.value(limits_section, json::object());
     limits.turn_limit = detail::read_member<std::uint32_t>(section, "turn_limit").value_or(limits.turn_limit);
     limits.repeat_limit =
         detail::read_member<std::uint32_t>(section, "repeat_limit").value_or(limits.repeat_limit);
@@ -205,7 +206,7 @@
 }
 
 template <typename Row, typename Name>
-const Row* find_sorted(const std::vector<Row>& rows, const Name& name, Name Row::*member)
+const Row* binary_find(const std::vector<Row>& rows, const Name& name, Name Row::*member)
 {
     const auto it = std::ranges::lower_bound(rows, name, {}, member);
     return it != rows.end() && (*it).*member == name ? &*it : nullptr;
@@ -239,45 +240,45 @@
 
 const service_config* config_view::find_service(const service_name& name) const
 {
-    return find_sorted(services, name, &service_config::name);
+    return binary_find(services, name, &service_config::name);
 }
 
 const workspace_config* config_view::find_workspace(const workspace_id& id) const
 {
-    return find_sorted(workspaces, id, &workspace_config::id);
+    return binary_find(workspaces, id, &workspace_config::id);
 }
 
 const target_config* config_view::find_target(const process_name& name) const
 {
-    return find_sorted(targets, name, &target_config::name);
+    return binary_find(targets, name, &target_config::name);
 }
 
 config_result apply_merge_patch(const std::string& document, const std::string& patch)
 {
-    auto base = detail::parse_guarded(document, max_config_size);
+    auto base = detail::parse_bounded_json(document, max_config_size);
     if (!base.error.empty())
     {
-        return reject("the document in force: " + base.error);
+        return make_error("the document in force: " + base.error);
     }
-    const auto change = detail::parse_guarded(patch, max_config_size);
-    if (!change.error.empty())
+    const auto parsed_patch = detail::parse_bounded_json(patch, max_config_size);
+    if (!parsed_patch.error.empty())
     {
-        return reject("the patch: " + change.error);
+        return make_error("the patch: " + parsed_patch.error);
     }
-    base.value.merge_patch(change.value);
-    return accept(base.value);
+    base.value.merge_patch(parsed_patch.value);
+    return validate_and_serialize(base.value);
 }
 
 config_result check_config(const std::string& document)
 {
-    const auto parsed = detail::parse_guarded(document, max_config_size);
-    return parsed.error.empty() ? accept(parsed.value) : reject(parsed.error);
+    const auto parsed = detail::parse_bounded_json(document, max_config_size);
+    return parsed.error.empty() ? validate_and_serialize(parsed.value) : make_error(parsed.error);
 }
 
 std::optional<config_view> parse_config(const std::string& document)
 {
-    const auto parsed = detail::parse_guarded(document, max_config_size);
-    if (!parsed.error.empty() || !faults_of(parsed.value).empty())
+    const auto parsed = detail::parse_bounded_json(document, max_config_size);
+    if (!parsed.error.empty() || !validate_document(parsed.value).empty())
     {
         return std::nullopt;
     }
@@ -310,13 +311,13 @@
     {
         text += reference_rows(std::string{it.name} + "." + std::string{it.placeholder}, it.rules);
     }
-    return text + reference_rows(std::string{limits_name}, limits_rules);
+    return text + reference_rows(std::string{limits_section}, limits_rules);
 }
 
-std::string to_string(const std::vector<config_fault>& faults)
+std::string to_string(const std::vector<config_error>& errors)
 {
     std::string text;
-    for (const auto& it : faults)
+    for (const auto& it : errors)
     {
         text.append(text.empty() ? "" : "; ").append(it.pointer);
         text.append(it.pointer.empty() ? "" : ": ").append(it.message);
--- a/src/settings/settings_checks.hpp
+++ b/src/settings/settings_checks.hpp
@@ -8,7 +8,7 @@
 {
 
 /// Where each element of the settings stands in the file, in order of the vectors of deployment_settings.
-struct settings_lines
+struct settings_line_numbers
 {
     std::vector<std::uint32_t> entries;
     std::vector<std::uint32_t> targets;
@@ -18,6 +18,7 @@
 };
 
 /// Notes duplicate names and addresses, unknown services, missing tokens, and periods that contradict.
-void check_settings(const deployment_settings& settings, const settings_lines& lines, fault_list& faults);
+void check_settings(const deployment_settings& settings, const settings_line_numbers& lines,
+                    diagnostic_list& diagnostics);
 
 } // namespace masticcourse::detail
--- a/src/settings/settings_reference.cpp
+++ b/src/settings/settings_reference.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-using detail::key_row;
+using detail::key_spec;
 using detail::text_format;
 
 std::string_view format_name(text_format format)
@@ -31,72 +31,75 @@
 }
 
 /// How a member's type and initial value read in the reference.
-struct value_text
+struct value_description
 {
     std::string type;
-    std::string initial;
+    std::string default_value;
 };
 
 template <typename Row>
-std::string range_of(const key_row<Row>& key)
+std::string describe_range(const key_spec<Row>& key)
 {
-    return "integer " + std::to_string(key.least) + " to " + std::to_string(key.most);
+    return "integer " + std::to_string(key.minimum) + " to " + std::to_string(key.maximum);
 }
 
 template <typename Row>
-value_text describe(const key_row<Row>& key, const std::string& value)
+value_description describe(const key_spec<Row>& key, const std::string& value)
 {
     return {std::string{format_name(key.format)}, value.empty() ? "empty" : value};
 }
 
 template <typename Row, typename Tag>
-value_text describe(const key_row<Row>& key, const strong_string<Tag>& value)
+value_description describe(const key_spec<Row>& key, const strong_string<Tag>& value)
 {
     return describe(key, value.value);
 }
 
 template <typename Row>
-value_text describe(const key_row<Row>& /*key*/, bool value)
+value_description describe(const key_spec<Row>& /*key*/, bool value)
 {
     return {"true or false", value ? "true" : "false"};
 }
 
 template <typename Row, typename Number>
     requires std::is_integral_v<Number>
-value_text describe(const key_row<Row>& key, Number value)
+value_description describe(const key_spec<Row>& key, Number value)
 {
-    return {range_of(key), std::to_string(value)};
+    return {describe_range(key), std::to_string(value)};
 }
 
 template <typename Row>
-value_text describe(const key_row<Row>& key, std::chrono::milliseconds value)
+value_description describe(const key_spec<Row>& key, std::chrono::milliseconds value)
 {
-    return {range_of(key), std::to_string(value.count())};
+    return {describe_range(key), std::to_string(value.count())};
 }
 
 template <typename Row>
-value_text describe(const key_row<Row>& /*key*/, call_kind value)
+value_description describe(const key_spec<Row>& /*key*/, call_kind value)
 {
     return {join(call_kind_names()), std::string{to_string(value)}};
 }
 
 template <typename Row>
-value_text describe(const key_row<Row>& /*key*/, service_class value)
+value_description describe(const key_spec<Row>& /*key*/, service_class value)
 {
     return {join(service_class_names()), std::string{to_string(value)}};
 }
 
 template <typename Row>
-std::string table_text(std::string_view title, std::span<const key_row<Row>> keys)
+std::string render_table(std::string_view title, std::span<const key_spec<Row>> keys)
 {
     std::string text = "\n## " + std::string{title} + "\n\n| key | type | if left out | meaning |\n";
     text += "| --- | --- | --- | --- |\n";
-    const Row initial;
+    const Row defaults;
     for (const auto& it : keys)
     {
-        const auto value = std::visit([&](auto member) { return describe(it, initial.*member); }, it.member);
+        const auto value = std::visit([&](auto member) { return describe(it, defaults.*member); }, it.member);
         text.append("| `").append(it.key).append("` | ").append(value.type).append(" | ");
-        text.append(it.required ? "required" : value.initial).append(" | ").append(it.doc).append(" |\n");
+        text.append(it.required ? "required" : value.default_value)
+            .append(" | ")
+            .append(it.doc)
+            .append(" |\n");
     }
     return text;
 }
@@ -118,13 +121,13 @@
 std::string settings_reference()
 {
     std::string text{introduction};
-    text += table_text<detail::root_settings>("Top of the file", detail::root_keys);
-    text += table_text<entry_settings>("`[[entries]]`", detail::entry_keys);
-    text += table_text<target_settings>("`[[targets]]`", detail::target_keys);
-    text += table_text<service_settings>("`[[services]]`", detail::service_keys);
-    text += table_text<workspace_settings>("`[[workspaces]]`", detail::workspace_keys);
-    text += table_text<platform_settings>("`[platform]`", detail::platform_keys);
-    text += table_text<limits_settings>("`[limits]`", detail::limits_keys);
+    text += render_table<detail::root_settings>("Top of the file", detail::root_keys);
+    text += render_table<entry_settings>("`[[entries]]`", detail::entry_keys);
+    text += render_table<target_settings>("`[[targets]]`", detail::target_keys);
+    text += render_table<service_settings>("`[[services]]`", detail::service_keys);
+    text += render_table<workspace_settings>("`[[workspaces]]`", detail::workspace_keys);
+    text += render_table<platform_settings>("`[platform]`", detail::platform_keys);
+    text += render_table<limits_settings>("`[limits]`", detail::limits_keys);
     return text;
 }
 
--- a/src/settings/table_reader.hpp
+++ b/src/settings/table_reader.hpp
@@ -20,24 +20,24 @@
 {
 
 /// Collects the faults of one file.
-class fault_list
+class diagnostic_list
 {
   public:
-    explicit fault_list(std::string file) : m_file(std::move(file)) {}
+    explicit diagnostic_list(std::string file) : m_file(std::move(file)) {}
 
     void add(std::uint32_t line, std::string key, std::string message)
     {
-        m_faults.push_back({m_file, line, std::move(key), std::move(message)});
+        m_diagnostics.push_back({m_file, line, std::move(key), std::move(message)});
     }
 
-    [[nodiscard]] std::vector<settings_fault>& faults()
+    [[nodiscard]] std::vector<settings_diagnostic>& diagnostics()
     {
-        return m_faults;
+        return m_diagnostics;
     }
 
   private:
     std::string m_file;
-    std::vector<settings_fault> m_faults;
+    std::vector<settings_diagnostic> m_diagnostics;
 };
 
 /// @return the line at which @a node stands
@@ -51,25 +51,25 @@
 class table_reader
 {
   public:
-    table_reader(const toml::table& table, std::string path, fault_list& faults)
-        : m_table(table), m_path(std::move(path)), m_faults(faults)
+    table_reader(const toml::table& table, std::string path, diagnostic_list& diagnostics)
+        : m_table(table), m_path(std::move(path)), m_diagnostics(diagnostics)
     {
     }
 
     /// @return the row; keys with faults keep their initial values
-    [[nodiscard]] Row read(std::span<const key_row<Row>> keys)
+    [[nodiscard]] Row read(std::span<const key_spec<Row>> keys)
     {
         Row row;
         for (const auto& it : keys)
         {
             read_key(row, it);
         }
-        report_unknown(keys);
+        report_unknown_keys(keys);
         return row;
     }
 
   private:
-    void read_key(Row& row, const key_row<Row>& key)
+    void read_key(Row& row, const key_spec<Row>& key)
     {
         const toml::node* const node = m_table.get(key.key);
         if (node != nullptr)
@@ -79,19 +79,19 @@
         }
         else if (key.required)
         {
-            fault(m_table, key.key, "missing");
+            report(m_table, key.key, "missing");
         }
     }
 
-    void report_unknown(std::span<const key_row<Row>> keys)
+    void report_unknown_keys(std::span<const key_spec<Row>> keys)
     {
         for (const auto& [name, node] : m_table)
         {
             const std::string_view text = name.str();
-            const bool table_of_root = std::is_same_v<Row, root_settings> && is_section(text);
-            if (!table_of_root && std::ranges::find(keys, text, &key_row<Row>::key) == keys.end())
+            const bool root_section = std::is_same_v<Row, root_settings> && is_section(text);
+            if (!root_section && std::ranges::find(keys, text, &key_spec<Row>::key) == keys.end())
             {
-                fault(node, text, "unknown key");
+                report(node, text, "unknown key");
             }
         }
     }
@@ -103,16 +103,16 @@
         return std::ranges::find(sections, text) != sections.end();
     }
 
-    void read_value(std::string& out, const toml::node& node, const key_row<Row>& key)
+    void read_value(std::string& out, const toml::node& node, const key_spec<Row>& key)
     {
         const auto text = node.value_exact<std::string>();
         if (!text)
         {
-            fault(node, key.key, "must be a text");
+            report(node, key.key, "must be a text");
         }
-        else if (const auto wrong = text_fault(key.format, *text))
+        else if (const auto error = validate_text(key.format, *text))
         {
-            fault(node, key.key, *wrong);
+            report(node, key.key, *error);
         }
         else
         {
@@ -121,24 +121,24 @@
     }
 
     template <typename Tag>
-    void read_value(strong_string<Tag>& out, const toml::node& node, const key_row<Row>& key)
+    void read_value(strong_string<Tag>& out, const toml::node& node, const key_spec<Row>& key)
     {
         read_value(out.value, node, key);
     }
 
-    void read_value(bool& out, const toml::node& node, const key_row<Row>& key)
+    void read_value(bool& out, const toml::node& node, const key_spec<Row>& key)
     {
         const auto value = node.value_exact<bool>();
         if (!value)
         {
-            fault(node, key.key, "must be true or false");
+            report(node, key.key, "must be true or false");
         }
         out = value.value_or(out);
     }
 
     template <typename Number>
         requires std::is_integral_v<Number>
-    void read_value(Number& out, const toml::node& node, const key_row<Row>& key)
+    void read_value(Number& out, const toml::node& node, const key_spec<Row>& key)
     {
         if (const auto number = read_number(node, key))
         {
@@ -146,7 +146,7 @@
         }
     }
 
-    void read_value(std::chrono::milliseconds& out, const toml::node& node, const key_row<Row>& key)
+    void read_value(std::chrono::milliseconds& out, const toml::node& node, const key_spec<Row>& key)
     {
         if (const auto number = read_number(node, key))
         {
@@ -154,21 +154,21 @@
         }
     }
 
-    void read_value(call_kind& out, const toml::node& node, const key_row<Row>& key)
+    void read_value(call_kind& out, const toml::node& node, const key_spec<Row>& key)
     {
         const auto value = parse_call_kind(node.value_or(std::string_view{}));
-        choose(out, value, node, key, call_kind_names());
+        assign_choice(out, value, node, key, call_kind_names());
     }
 
-    void read_value(service_class& out, const toml::node& node, const key_row<Row>& key)
+    void read_value(service_class& out, const toml::node& node, const key_spec<Row>& key)
     {
         const auto value = parse_service_class(node.value_or(std::string_view{}));
-        choose(out, value, node, key, service_class_names());
+        assign_choice(out, value, node, key, service_class_names());
     }
 
     template <typename Enum>
-    void choose(Enum& out, std::optional<Enum> value, const toml::node& node, const key_row<Row>& key,
-                std::span<const std::string_view> names)
+    void assign_choice(Enum& out, std::optional<Enum> value, const toml::node& node, const key_spec<Row>& key,
+                       std::span<const std::string_view> names)
     {
         if (!value)
         {
@@ -177,36 +177,36 @@
             {
                 message.append(" ").append(name);
             }
-            fault(node, key.key, message);
+            report(node, key.key, message);
         }
         out = value.value_or(out);
     }
 
-    [[nodiscard]] std::optional<std::int64_t> read_number(const toml::node& node, const key_row<Row>& key)
+    [[nodiscard]] std::optional<std::int64_t> read_number(const toml::node& node, const key_spec<Row>& key)
     {
         const auto number = node.value_exact<std::int64_t>();
         if (!number)
         {
-            fault(node, key.key, "must be an integer");
+            report(node, key.key, "must be an integer");
             return std::nullopt;
         }
-        if (*number < key.least || *number > key.most)
+        if (*number < key.minimum || *number > key.maximum)
         {
-            fault(node, key.key,
-                  "must be from " + std::to_string(key.least) + " to " + std::to_string(key.most));
+            report(node, key.key,
+                   "must be from " + std::to_string(key.minimum) + " to " + std::to_string(key.maximum));
             return std::nullopt;
         }
         return number;
     }
 
-    void fault(const toml::node& node, std::string_view key, std::string message)
+    void report(const toml::node& node, std::string_view key, std::string message)
     {
-        m_faults.add(line_of(node), m_path + std::string{key}, std::move(message));
+        m_diagnostics.add(line_of(node), m_path + std::string{key}, std::move(message));
     }
 
     const toml::table& m_table;
     std::string m_path;
-    fault_list& m_faults;
+    diagnostic_list& m_diagnostics;
 };
 
 } // namespace masticcourse::detail
--- a/src/settings/text_format.cpp
+++ b/src/settings/text_format.cpp
@@ -11,9 +11,9 @@
 namespace
 {
 
-constexpr std::size_t max_name = 64;
-constexpr std::size_t min_secret = 16;
-constexpr std::size_t max_secret = 256;
+constexpr std::size_t max_name_length = 64;
+constexpr std::size_t min_secret_length = 16;
+constexpr std::size_t max_secret_length = 256;
 
 bool is_name_character(char c)
 {
@@ -27,17 +27,18 @@
 
 bool is_name(const std::string& text)
 {
-    return !text.empty() && text.size() <= max_name && std::ranges::all_of(text, is_name_character);
+    return !text.empty() && text.size() <= max_name_length && std::ranges::all_of(text, is_name_character);
 }
 
 bool is_secret(const std::string& text)
 {
-    return text.size() >= min_secret && text.size() <= max_secret && std::ranges::all_of(text, is_visible);
+    return text.size() >= min_secret_length && text.size() <= max_secret_length &&
+           std::ranges::all_of(text, is_visible);
 }
 
 } // namespace
 
-std::optional<std::string> text_fault(text_format format, const std::string& text)
+std::optional<std::string> validate_text(text_format format, const std::string& text)
 {
     switch (format)
     {
--- a/src/settings/text_format.hpp
+++ b/src/settings/text_format.hpp
@@ -19,6 +19,6 @@
 };
 
 /// What is wrong with a text, or nothing.
-[[nodiscard]] std::optional<std::string> text_fault(text_format format, const std::string& text);
+[[nodiscard]] std::optional<std::string> validate_text(text_format format, const std::string& text);
 
 } // namespace masticcourse::detail
--- a/src/settings/token.cpp
+++ b/src/settings/token.cpp
@@ -5,7 +5,7 @@
 namespace masticcourse
 {
 
-bool same_token(std::string_view a, std::string_view b)
+bool tokens_equal(std::string_view a, std::string_view b)
 {
     if (a.empty() || a.size() != b.size())
     {
--- a/src/settings/tokens_file.cpp
+++ b/src/settings/tokens_file.cpp
@@ -6,18 +6,19 @@
 namespace
 {
 
-std::string read_token(const toml::node& node, const std::string& key, fault_list& faults)
+std::string read_token(const toml::node& node, const std::string& key, diagnostic_list& diagnostics)
 {
     auto token = node.value_exact<std::string>();
-    if (!token || text_fault(text_format::secret, *token))
+    if (!token || validate_text(text_format::secret, *token))
     {
-        faults.add(line_of(node), key, "must be a text of 16 to 256 visible characters");
+        diagnostics.add(line_of(node), key, "must be a text of 16 to 256 visible characters");
         return {};
     }
     return std::move(*token);
 }
 
-void read_workspace_tokens(const toml::table& table, deployment_settings& settings, fault_list& faults)
+void read_workspace_tokens(const toml::table& table, deployment_settings& settings,
+                           diagnostic_list& diagnostics)
 {
     for (const auto& [name, node] : table)
     {
@@ -26,46 +27,47 @@
         const auto it = std::ranges::find(settings.workspaces, id, &workspace_settings::id);
         if (it == settings.workspaces.end())
         {
-            faults.add(line_of(node), key, "no such workspace");
+            diagnostics.add(line_of(node), key, "no such workspace");
             continue;
         }
-        it->token = read_token(node, key, faults);
+        it->token = read_token(node, key, diagnostics);
     }
 }
 
-void read_token_table(const toml::table& table, deployment_settings& settings, fault_list& faults)
+void read_token_table(const toml::table& table, deployment_settings& settings, diagnostic_list& diagnostics)
 {
     for (const auto& [name, node] : table)
     {
         if (name.str() == "operator")
         {
-            settings.operator_token = read_token(node, "operator", faults);
+            settings.operator_token = read_token(node, "operator", diagnostics);
         }
         else if (name.str() == "workspaces" && node.is_table())
         {
-            read_workspace_tokens(*node.as_table(), settings, faults);
+            read_workspace_tokens(*node.as_table(), settings, diagnostics);
         }
         else
         {
-            faults.add(line_of(node), std::string{name.str()}, "unknown key");
+            diagnostics.add(line_of(node), std::string{name.str()}, "unknown key");
         }
     }
 }
 
 } // namespace
 
-void read_tokens(const std::string& path, deployment_settings& settings, std::vector<settings_fault>& faults)
+void read_tokens_file(const std::string& path, deployment_settings& settings,
+                      std::vector<settings_diagnostic>& diagnostics)
 {
-    fault_list found{path};
+    diagnostic_list file_diagnostics{path};
     try
     {
-        read_token_table(toml::parse_file(path), settings, found);
+        read_token_table(toml::parse_file(path), settings, file_diagnostics);
     }
     catch (const toml::parse_error& error)
     {
-        found.add(error.source().begin.line, "", std::string{error.description()});
+        file_diagnostics.add(error.source().begin.line, "", std::string{error.description()});
     }
-    std::ranges::move(found.faults(), std::back_inserter(faults));
+    std::ranges::move(file_diagnostics.diagnostics(), std::back_inserter(diagnostics));
 }
 
 } // namespace masticcourse::detail
--- a/src/state/journal_writer.cpp
+++ b/src/state/journal_writer.cpp
@@ -136,7 +136,7 @@
         // Either an attempt of ours that took effect unseen, or somebody else's entry.
         m_step = step::read_back;
         break;
-    case store_status::lost:
+    case store_status::outcome_unknown:
         m_step = step::read_back;
         m_retry.failed(now);
         break;
--- a/src/state/store_retry.cpp
+++ b/src/state/store_retry.cpp
@@ -74,7 +74,7 @@
     {
         return store_answer::none;
     }
-    const bool lost = reply.status == store_status::lost;
+    const bool lost = reply.status == store_status::outcome_unknown;
     if (lost || reply.status == store_status::unavailable)
     {
         m_retry.failed(now);
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -22,7 +22,7 @@
 constexpr int status_no_content = 204;
 constexpr int status_not_found = 404;
 constexpr int status_precondition_failed = 412;
-constexpr int status_too_many = 429;
+constexpr int status_too_many_requests = 429;
 constexpr int status_unavailable = 503;
 
 std::string table_path(const std::string& key)
@@ -35,14 +35,14 @@
     return "/objects/" + percent_encode(key);
 }
 
-http_client_request create_condition(http_client_request request)
+http_client_request with_absent_condition(http_client_request request)
 {
     request.headers.push_back({"If-None-Match", "*"});
     return request;
 }
 
 /// The request of each operation.
-struct request_visitor
+struct request_builder
 {
     http_client_request operator()(const table_get& op) const
     {
@@ -54,7 +54,7 @@
         http_client_request request{.method = "PUT", .target = table_path(op.key), .body = op.value};
         if (op.expected == 0)
         {
-            return create_condition(std::move(request));
+            return with_absent_condition(std::move(request));
         }
         request.headers.push_back({"If-Match", '"' + std::to_string(op.expected) + '"'});
         return request;
@@ -67,7 +67,7 @@
 
     http_client_request operator()(const object_create& op) const
     {
-        return create_condition({.method = "PUT", .target = object_path(op.key), .body = op.bytes});
+        return with_absent_condition({.method = "PUT", .target = object_path(op.key), .body = op.bytes});
     }
 
     http_client_request operator()(const object_get& op) const
@@ -86,7 +86,7 @@
     }
 };
 
-store_status status_of(const http_client_reply& reply)
+store_status to_store_status(const http_client_reply& reply)
 {
     switch (reply.failure)
     {
@@ -94,7 +94,7 @@
         return store_status::unavailable;
     case http_failure::timeout:
     case http_failure::broken:
-        return store_status::lost;
+        return store_status::outcome_unknown;
     case http_failure::none:
         break;
     }
@@ -108,30 +108,30 @@
         return store_status::not_found;
     case status_precondition_failed:
         return store_status::conflict;
-    case status_too_many:
+    case status_too_many_requests:
     case status_unavailable:
         return store_status::unavailable;
     default:
         // Whatever else it means, it does not say that nothing was written.
-        return store_status::lost;
+        return store_status::outcome_unknown;
     }
 }
 
-row_version version_in(const http_client_reply& reply)
+row_version parse_etag_version(const http_client_reply& reply)
 {
-    const auto tag = reply.header("ETag").value_or("");
-    const auto from = tag.find_first_not_of('"');
+    const auto etag = reply.header("ETag").value_or("");
+    const auto from = etag.find_first_not_of('"');
     row_version version = 0;
     if (from != std::string::npos)
     {
-        std::from_chars(tag.data() + from, tag.data() + tag.size(), version);
+        std::from_chars(etag.data() + from, etag.data() + etag.size(), version);
     }
     return version;
 }
 
 /// Reads a listing: rows as objects, keys of objects as strings.
 /// @return false if the answer is no listing
-bool read_rows(const std::string& body, std::vector<table_row>& rows)
+bool parse_listing(const std::string& body, std::vector<table_row>& rows)
 {
     const auto document = json::parse(body, nullptr, false);
     if (!document.is_array())
@@ -145,10 +145,10 @@
             rows.push_back({.key = it.get<std::string>()});
             continue;
         }
-        const bool row = it.is_object() && it.contains("key") && it["key"].is_string() &&
-                         it.contains("value") && it["value"].is_string() && it.contains("version") &&
-                         it["version"].is_number_unsigned();
-        if (!row)
+        const bool is_row = it.is_object() && it.contains("key") && it["key"].is_string() &&
+                            it.contains("value") && it["value"].is_string() && it.contains("version") &&
+                            it["version"].is_number_unsigned();
+        if (!is_row)
         {
             return false;
         }
@@ -158,21 +158,21 @@
     return true;
 }
 
-store_reply reply_of(http_client_reply answer, bool lists)
+store_reply to_store_reply(http_client_reply response, bool is_list)
 {
-    store_reply reply{.status = status_of(answer)};
+    store_reply reply{.status = to_store_status(response)};
     if (reply.status != store_status::ok)
     {
         return reply;
     }
-    reply.version = version_in(answer);
-    if (lists && !read_rows(answer.body, reply.rows))
+    reply.version = parse_etag_version(response);
+    if (is_list && !parse_listing(response.body, reply.rows))
     {
         reply.status = store_status::unavailable;
     }
-    if (!lists)
+    if (!is_list)
     {
-        reply.value = std::move(answer.body);
+        reply.value = std::move(response.body);
     }
     return reply;
 }
@@ -186,12 +186,12 @@
 
 void store_client::run(const store_op& op, std::chrono::milliseconds timeout, reply_callback on_reply)
 {
-    auto request = std::visit(request_visitor{}, op);
+    auto request = std::visit(request_builder{}, op);
     request.address = m_address;
     request.timeout = timeout;
-    const bool lists = std::holds_alternative<table_list>(op) || std::holds_alternative<object_list>(op);
-    m_client.send(std::move(request), [on_reply = std::move(on_reply), lists](http_client_reply answer)
-                  { on_reply(reply_of(std::move(answer), lists)); });
+    const bool is_list = std::holds_alternative<table_list>(op) || std::holds_alternative<object_list>(op);
+    m_client.send(std::move(request), [on_reply = std::move(on_reply), is_list](http_client_reply response)
+                  { on_reply(to_store_reply(std::move(response), is_list)); });
 }
 
 } // namespace masticcourse
--- a/standins/faulty_store.cpp
+++ b/standins/faulty_store.cpp
@@ -38,7 +38,7 @@
     }
     const waiting_op taken = take(which);
     ++m_fates.at(static_cast<std::size_t>(fate));
-    store_reply reply{.status = store_status::lost};
+    store_reply reply{.status = store_status::outcome_unknown};
     switch (fate)
     {
     case op_fate::answered:
--- a/standins/platform_store.cpp
+++ b/standins/platform_store.cpp
@@ -51,7 +51,7 @@
     {
         --m_faults.lose_answers;
         ++m_stats.lost_answers;
-        return {.status = store_status::lost};
+        return {.status = store_status::outcome_unknown};
     }
     return reply;
 }
--- a/standins/store_http.cpp
+++ b/standins/store_http.cpp
@@ -195,7 +195,7 @@
 void store_http::answer_later(const std::shared_ptr<http_exchange>& exchange, const store_reply& reply,
                               bool creates)
 {
-    if (reply.status == store_status::lost)
+    if (reply.status == store_status::outcome_unknown)
     {
         // Dropping the exchange closes the connection without an answer.
         return;
--- a/tests/support/caller_agent.cpp
+++ b/tests/support/caller_agent.cpp
@@ -244,7 +244,7 @@
         violate("'not run' for a call that ran: " + document.dump());
     }
     const auto wait = core_duration{answer.retry_after.value_or(reconnect_after)};
-    const bool behind = document.at("id") == static_cast<int>(problem_id::history_behind);
+    const bool behind = document.at("id") == static_cast<int>(problem_id::history_not_recovered);
     m_behind = behind ? m_behind + 1 : 0;
     if (m_behind > patience_with_gathering)
     {
--- a/tests/unit/test_config_document.cpp
+++ b/tests/unit/test_config_document.cpp
@@ -15,14 +15,14 @@
 const std::string base_document =
     R"({"limits":{"turn_limit":400},"services":{"llm":{"kind":"model"},"tool":{"kind":"tool"}}})";
 
-std::string patched(const std::string& document, const std::string& patch)
+std::string patch_result(const std::string& document, const std::string& patch)
 {
     const auto result = apply_merge_patch(document, patch);
-    const auto* const accepted = std::get_if<config_accepted>(&result);
-    return accepted != nullptr ? accepted->document : to_string(std::get<std::vector<config_fault>>(result));
+    const auto* const accepted = std::get_if<accepted_config>(&result);
+    return accepted != nullptr ? accepted->document : to_string(std::get<std::vector<config_error>>(result));
 }
 
-std::string nested(int depth)
+std::string nested_json(int depth)
 {
     std::string text;
     for (int n = 0; n < depth; ++n)
@@ -52,7 +52,7 @@
     };
     for (const auto& it : table)
     {
-        CHECK(patched(base_document, it.patch) == it.document);
+        CHECK(patch_result(base_document, it.patch) == it.document);
     }
 }
 
@@ -85,11 +85,11 @@
     {
         CAPTURE(it.patch);
         const auto result = apply_merge_patch(base_document, it.patch);
-        const auto* const faults = std::get_if<std::vector<config_fault>>(&result);
-        REQUIRE(faults != nullptr);
-        CHECK(faults->size() == 1);
-        CHECK(faults->front().pointer == it.pointer);
-        CHECK_FALSE(faults->front().message.empty());
+        const auto* const errors = std::get_if<std::vector<config_error>>(&result);
+        REQUIRE(errors != nullptr);
+        CHECK(errors->size() == 1);
+        CHECK(errors->front().pointer == it.pointer);
+        CHECK_FALSE(errors->front().message.empty());
     }
 }
 
@@ -97,22 +97,23 @@
 {
     const auto result =
         apply_merge_patch(base_document, R"({"services":{"x":{}},"limits":{"turn_limit":0},"colour":1})");
-    CHECK(std::get<std::vector<config_fault>>(result).size() == 3);
+    CHECK(std::get<std::vector<config_error>>(result).size() == 3);
 }
 
 TEST_CASE("texts out of bounds are refused")
 {
-    CHECK(patched(base_document, nested(33)).find("nested") != std::string::npos);
-    CHECK(patched(base_document, nested(32)).find("nested") == std::string::npos);
-    CHECK(patched(base_document, "{\"colour\":\"\xff\"}").find("UTF-8") != std::string::npos);
-    CHECK(patched(base_document, std::string(max_config_size + 1, ' ')).find("longer") != std::string::npos);
+    CHECK(patch_result(base_document, nested_json(33)).find("nested") != std::string::npos);
+    CHECK(patch_result(base_document, nested_json(32)).find("nested") == std::string::npos);
+    CHECK(patch_result(base_document, "{\"colour\":\"\xff\"}").find("UTF-8") != std::string::npos);
+    CHECK(patch_result(base_document, std::string(max_config_size + 1, ' ')).find("longer") !=
+          std::string::npos);
 }
 
 TEST_CASE("a document that patches have made too long is refused")
 {
     std::string document = "{}";
-    std::string verdict;
-    for (int n = 0; n < 40 && verdict.empty(); ++n)
+    std::string error_text;
+    for (int n = 0; n < 40 && error_text.empty(); ++n)
     {
         std::string patch = R"({"targets":{)";
         for (int i = 0; i < 400; ++i)
@@ -121,14 +122,14 @@
                      R"(":{"leaving":true})";
         }
         const auto result = apply_merge_patch(document, patch + "}}");
-        if (const auto* const faults = std::get_if<std::vector<config_fault>>(&result))
+        if (const auto* const errors = std::get_if<std::vector<config_error>>(&result))
         {
-            verdict = to_string(*faults);
+            error_text = to_string(*errors);
             continue;
         }
-        document = std::get<config_accepted>(result).document;
+        document = std::get<accepted_config>(result).document;
     }
-    CHECK(verdict.find("longer") != std::string::npos);
+    CHECK(error_text.find("longer") != std::string::npos);
     CHECK(document.size() <= max_config_size);
 }
 
@@ -166,8 +167,8 @@
     }
     const auto document = initial_config(settings);
     const auto result = check_config(document);
-    REQUIRE(std::holds_alternative<config_accepted>(result));
-    CHECK(std::get<config_accepted>(result).document == document);
+    REQUIRE(std::holds_alternative<accepted_config>(result));
+    CHECK(std::get<accepted_config>(result).document == document);
     CHECK(parse_config(document)->workspaces.size() == 3300);
 }
 
@@ -175,7 +176,7 @@
 {
     const std::string patch =
         R"({"services":{"llm":{"kind":"tool","default_deadline_ms":3}},"targets":{"t":{"leaving":true}}})";
-    const auto holds = rc::check(
+    const auto passed = rc::check(
         [&](const std::vector<std::pair<std::uint16_t, char>>& mutations)
         {
             std::string text = patch;
@@ -184,16 +185,16 @@
                 text[at % text.size()] = c;
             }
             const auto result = apply_merge_patch(base_document, text);
-            if (const auto* const accepted = std::get_if<config_accepted>(&result))
+            if (const auto* const accepted = std::get_if<accepted_config>(&result))
             {
-                const auto again = check_config(accepted->document);
-                RC_ASSERT(std::get<config_accepted>(again).document == accepted->document);
+                const auto rechecked = check_config(accepted->document);
+                RC_ASSERT(std::get<accepted_config>(rechecked).document == accepted->document);
                 RC_ASSERT(parse_config(accepted->document).has_value());
             }
             else
             {
-                RC_ASSERT(!std::get<std::vector<config_fault>>(result).empty());
+                RC_ASSERT(!std::get<std::vector<config_error>>(result).empty());
             }
         });
-    CHECK(holds);
+    CHECK(passed);
 }
--- a/tests/unit/test_json_input.cpp
+++ b/tests/unit/test_json_input.cpp
@@ -29,10 +29,10 @@
 
 /// Whether there is a value, or a problem that says that nothing ran.
 template <typename Value>
-bool is_settled(const std::variant<Value, problem>& result)
+bool is_value_or_not_run(const std::variant<Value, problem>& result)
 {
-    const auto* const fault = std::get_if<problem>(&result);
-    return fault == nullptr || (fault->failed() && fault->ran == ran_state::no);
+    const auto* const error = std::get_if<problem>(&result);
+    return error == nullptr || (error->failed() && error->ran == ran_state::no);
 }
 
 } // namespace
@@ -103,7 +103,7 @@
     {
         const char* body;
         problem_id id;
-        const char* named;
+        const char* expected_detail;
     };
     constexpr std::array table{
         row{"", problem_id::malformed_request, ""},
@@ -128,11 +128,11 @@
         CAPTURE(it.body);
         const auto result = read_call_request(it.body, {"k"}, limits);
         REQUIRE(std::holds_alternative<problem>(result));
-        const auto& fault = std::get<problem>(result);
-        CHECK(fault.id == it.id);
-        CHECK(fault.ran == ran_state::no);
-        CAPTURE(fault.detail);
-        CHECK(fault.detail.find(it.named) != std::string::npos);
+        const auto& error = std::get<problem>(result);
+        CHECK(error.id == it.id);
+        CHECK(error.ran == ran_state::no);
+        CAPTURE(error.detail);
+        CHECK(error.detail.find(it.expected_detail) != std::string::npos);
     }
 }
 
@@ -151,24 +151,24 @@
 
 TEST_CASE("mutated bodies are read or refused, and nothing throws")
 {
-    const auto holds = rc::check(
+    const auto passed = rc::check(
         [](const std::vector<std::pair<std::uint16_t, char>>& mutations)
         {
             const auto call = read_call_request(mutate(call_body, mutations), {"k"});
             const auto spec = read_program_spec(mutate(program_body, mutations));
-            RC_ASSERT(is_settled(call));
-            RC_ASSERT(is_settled(spec));
+            RC_ASSERT(is_value_or_not_run(call));
+            RC_ASSERT(is_value_or_not_run(spec));
         });
-    CHECK(holds);
+    CHECK(passed);
 }
 
 TEST_CASE("any bytes are read or refused, and nothing throws")
 {
-    const auto holds = rc::check(
+    const auto passed = rc::check(
         [](const std::string& bytes)
         {
             const auto call = read_call_request(bytes, {"k"});
-            RC_ASSERT(is_settled(call));
+            RC_ASSERT(is_value_or_not_run(call));
         });
-    CHECK(holds);
+    CHECK(passed);
 }
--- a/tests/unit/test_platform_store.cpp
+++ b/tests/unit/test_platform_store.cpp
@@ -102,7 +102,7 @@
 {
     platform_store store;
     store.set_faults({.lose_answers = 1});
-    CHECK(store.apply(object_create{"k", "a"}, start).status == store_status::lost);
+    CHECK(store.apply(object_create{"k", "a"}, start).status == store_status::outcome_unknown);
     CHECK(store.apply(object_get{"k"}, start).value == "a");
 }
 
--- a/tests/unit/test_settings.cpp
+++ b/tests/unit/test_settings.cpp
@@ -40,24 +40,24 @@
 backend_address = "127.0.0.1:21201"
 )";
 
-std::string replaced(std::string text, const std::string& from, const std::string& to)
+std::string replace_first(std::string text, const std::string& from, const std::string& to)
 {
     const auto at = text.find(from);
     REQUIRE(at != std::string::npos);
     return text.replace(at, from.size(), to);
 }
 
-std::vector<settings_fault> faults_of(const std::string& text)
+std::vector<settings_diagnostic> diagnostics_of(const std::string& text)
 {
     const auto result = parse_settings(text, "demo.toml");
-    const auto* const faults = std::get_if<std::vector<settings_fault>>(&result);
-    return faults != nullptr ? *faults : std::vector<settings_fault>{};
+    const auto* const diagnostics = std::get_if<std::vector<settings_diagnostic>>(&result);
+    return diagnostics != nullptr ? *diagnostics : std::vector<settings_diagnostic>{};
 }
 
-std::string listing_of(const std::vector<settings_fault>& faults)
+std::string format_diagnostics(const std::vector<settings_diagnostic>& diagnostics)
 {
     std::string text;
-    for (const auto& it : faults)
+    for (const auto& it : diagnostics)
     {
         text += to_string(it) + "\n";
     }
@@ -81,9 +81,9 @@
         CAPTURE(it.file);
         const auto path = std::string{MASTICCOURSE_SOURCE_DIR} + "/deploy/" + it.file + ".toml";
         const auto result = read_settings(path);
-        if (const auto* const faults = std::get_if<std::vector<settings_fault>>(&result))
+        if (const auto* const diagnostics = std::get_if<std::vector<settings_diagnostic>>(&result))
         {
-            FAIL(listing_of(*faults));
+            FAIL(format_diagnostics(*diagnostics));
         }
         const auto& settings = std::get<deployment_settings>(result);
         const auto targets_of = [&](const std::string& service)
@@ -143,28 +143,28 @@
     for (const auto& it : table)
     {
         CAPTURE(it.to);
-        const auto faults = faults_of(replaced(valid_text, it.from, it.to));
-        CAPTURE(listing_of(faults));
-        const auto same = [&](const settings_fault& fault)
-        { return fault.key == it.key && fault.line == it.line; };
-        CHECK(std::ranges::any_of(faults, same));
+        const auto diagnostics = diagnostics_of(replace_first(valid_text, it.from, it.to));
+        CAPTURE(format_diagnostics(diagnostics));
+        const auto is_expected = [&](const settings_diagnostic& diagnostic)
+        { return diagnostic.key == it.key && diagnostic.line == it.line; };
+        CHECK(std::ranges::any_of(diagnostics, is_expected));
     }
 }
 
 TEST_CASE("all faults of a file come at once, in order of their lines")
 {
-    auto text = replaced(valid_text, "127.0.0.1:21901", "store");
-    text = replaced(text, "kind = \"model\"", "kind = 1\ncolour = 2");
-    text = replaced(text, "127.0.0.1:21201", "engine");
-    const auto faults = faults_of(text);
-    CHECK(faults.size() == 4);
-    CHECK(std::ranges::is_sorted(faults, {}, &settings_fault::line));
+    auto text = replace_first(valid_text, "127.0.0.1:21901", "store");
+    text = replace_first(text, "kind = \"model\"", "kind = 1\ncolour = 2");
+    text = replace_first(text, "127.0.0.1:21201", "engine");
+    const auto diagnostics = diagnostics_of(text);
+    CHECK(diagnostics.size() == 4);
+    CHECK(std::ranges::is_sorted(diagnostics, {}, &settings_diagnostic::line));
 }
 
 TEST_CASE("a missing file is a fault")
 {
     const auto result = read_settings("/nonexistent/settings.toml");
-    CHECK(std::get<std::vector<settings_fault>>(result).size() == 1);
+    CHECK(std::get<std::vector<settings_diagnostic>>(result).size() == 1);
 }
 
 TEST_CASE("parse_address")
@@ -182,8 +182,8 @@
 
 TEST_CASE("same_token")
 {
-    CHECK(same_token("abc", "abc"));
-    CHECK_FALSE(same_token("abc", "abd"));
-    CHECK_FALSE(same_token("abc", "abcd"));
-    CHECK_FALSE(same_token("", ""));
+    CHECK(tokens_equal("abc", "abc"));
+    CHECK_FALSE(tokens_equal("abc", "abd"));
+    CHECK_FALSE(tokens_equal("abc", "abcd"));
+    CHECK_FALSE(tokens_equal("", ""));
 }
--- a/tests/unit/test_store_client.cpp
+++ b/tests/unit/test_store_client.cpp
@@ -68,14 +68,14 @@
 };
 
 /// Keys that break what is not percent-encoded.
-const std::array<std::string, 4> hard_keys{"plain", "a/b#c", "journal/x y?&%", "\xC3\xBArad/\x01"};
+const std::array<std::string, 4> special_keys{"plain", "a/b#c", "journal/x y?&%", "\xC3\xBArad/\x01"};
 
 } // namespace
 
 TEST_CASE("store_client: rows")
 {
     store_fixture it;
-    for (const auto& key : hard_keys)
+    for (const auto& key : special_keys)
     {
         CAPTURE(key);
         CHECK(it.run(table_get{key}).status == store_status::not_found);
@@ -84,19 +84,19 @@
         CHECK(created.version == 1);
         CHECK(it.run(table_put{key, "two", 0}).status == store_status::conflict);
         CHECK(it.run(table_put{key, "two", 1}).version == 2);
-        const auto read = it.run(table_get{key});
-        CHECK(read.value == "two");
-        CHECK(read.version == 2);
+        const auto stored = it.run(table_get{key});
+        CHECK(stored.value == "two");
+        CHECK(stored.version == 2);
         CHECK(it.run(table_list{key}).rows == std::vector<table_row>{{key, "two", 2}});
     }
-    CHECK(it.run(table_list{""}).rows.size() == hard_keys.size());
+    CHECK(it.run(table_list{""}).rows.size() == special_keys.size());
 }
 
 TEST_CASE("store_client: objects")
 {
     store_fixture it;
     const std::string bytes("\0\xFF\r\n binary", 11);
-    for (const auto& key : hard_keys)
+    for (const auto& key : special_keys)
     {
         CAPTURE(key);
         CHECK(it.run(object_create{key, bytes}).status == store_status::ok);
@@ -127,14 +127,15 @@
     SUBCASE("a lost answer is told from a refusal, and the write is there")
     {
         it.set_faults(R"({"lose_answers":1})");
-        CHECK(it.run(object_create{"k", "a"}).status == store_status::lost);
+        CHECK(it.run(object_create{"k", "a"}).status == store_status::outcome_unknown);
         CHECK(it.run(object_get{"k"}).value == "a");
         CHECK(it.stats().find(R"("writes":1)") != std::string::npos);
     }
     SUBCASE("a slow answer is lost too")
     {
         it.set_faults(R"({"delay_ms":600000})");
-        CHECK(it.run(table_put{"k", "a", 0}, std::chrono::milliseconds{30}).status == store_status::lost);
+        CHECK(it.run(table_put{"k", "a", 0}, std::chrono::milliseconds{30}).status ==
+              store_status::outcome_unknown);
         it.set_faults(R"({"delay_ms":0})");
         CHECK(it.run(table_get{"k"}).value == "a");
     }
@@ -145,11 +146,11 @@
     }
     SUBCASE("nobody there: nothing was written")
     {
-        store_client away(it.http, "127.0.0.1:1");
+        store_client unreachable(it.http, "127.0.0.1:1");
         synchronized_value<std::optional<store_status>> status;
-        away.run(table_put{"k", "a", 0}, test_timeout,
-                 [&](const store_reply& reply)
-                 { status.update([&](auto& value) { value = reply.status; }); });
+        unreachable.run(table_put{"k", "a", 0}, test_timeout,
+                        [&](const store_reply& reply)
+                        { status.update([&](auto& value) { value = reply.status; }); });
         CHECK(status.wait([](const auto& value) { return value == store_status::unavailable; }));
     }
 }
@@ -173,7 +174,7 @@
 
 TEST_CASE("percent-encoding")
 {
-    for (const auto& key : hard_keys)
+    for (const auto& key : special_keys)
     {
         CHECK(percent_decode(percent_encode(key)) == key);
     }
--- a/tests/unit/test_store_retry.cpp
+++ b/tests/unit/test_store_retry.cpp
@@ -16,8 +16,8 @@
         store_status status;
         store_answer answer;
     };
-    for (const auto& it :
-         {row{store_status::unavailable, store_answer::refused}, row{store_status::lost, store_answer::lost}})
+    for (const auto& it : {row{store_status::unavailable, store_answer::refused},
+                           row{store_status::outcome_unknown, store_answer::lost}})
     {
         core_time now{};
         store_exchange exchange({.first_gap = 50ms, .longest_gap = 2s}, 7);
