--- a/include/masticcourse/core/clock.hpp
+++ b/include/masticcourse/core/clock.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The clock of the control cores: monotonic, and set from outside so that tests run in virtual time.
+/// The clock of the control cores. It is monotonic, and callers pass in the current time, so that tests can
+/// run in virtual time.
 #pragma once
 
 #include <chrono>
@@ -8,7 +9,7 @@
 namespace masticcourse
 {
 
-/// Names the time line of the control cores. It has no `now()`: every step of a core is told the time.
+/// Clock type of the control cores. There is no `now()`: each step takes the current time as an argument.
 struct core_clock
 {
     using duration = std::chrono::microseconds;
--- a/include/masticcourse/core/ids.hpp
+++ b/include/masticcourse/core/ids.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Strongly typed identifiers: a program's id can't be passed where a call's key is meant.
+/// Strongly typed identifiers. They prevent, for example, a program id from being passed as a call key.
 #pragma once
 
 #include <compare>
@@ -11,8 +11,8 @@
 namespace masticcourse
 {
 
-/// A string with a type of its own.
-/// @tparam Tag any type; it only tells one kind of identifier from another
+/// A string wrapper that is a distinct type for each tag.
+/// @tparam Tag any type; used only to distinguish kinds of identifiers
 template <typename Tag>
 struct strong_string
 {
@@ -29,34 +29,35 @@
 /// @name Identifiers
 /// @{
 using program_id = strong_string<struct program_id_tag>;
-/// A caller's name for one call of a program (its `Idempotency-Key`).
+/// The caller's identifier of one call of a program (the `Idempotency-Key` header).
 using call_key = strong_string<struct call_key_tag>;
 using workspace_id = strong_string<struct workspace_id_tag>;
 using service_name = strong_string<struct service_name_tag>;
-/// The configured name of a process, the same after a restart.
+/// The configured name of a process, which stays the same across restarts.
 using process_name = strong_string<struct process_name_tag>;
-/// One life of a process: its name and a random part, new at every start.
+/// Identifies one run of a process: its name and a random suffix that changes at every start.
 using incarnation_id = strong_string<struct incarnation_id_tag>;
 using region_name = strong_string<struct region_name_tag>;
 using failure_domain_name = strong_string<struct failure_domain_name_tag>;
 /// @}
 
-/// The number of an ownership of a shard; it only grows, and serves as fencing number.
+/// The epoch of a shard's ownership. It increases monotonically and serves as the fencing token.
 using epoch_number = std::uint64_t;
-/// The number of an accepted configuration; it only grows.
+/// The version of an accepted configuration. It increases monotonically.
 using config_version = std::uint64_t;
-/// Which shard a program belongs to.
+/// The index of a shard.
 using shard_index = std::uint32_t;
-/// A count of model tokens; also the unit of budgets.
+/// A number of model tokens; budgets use the same unit.
 using token_count = std::int64_t;
 
-/// Separates a sub-agent's own part of its id from that of the program it belongs to: `root.1.4`.
+/// Separates a sub-agent's own part of its id from the id of its parent, as in `root.1.4`.
 inline constexpr char sub_agent_separator = '.';
 
-/// The shard that a program belongs to; a sub-agent belongs to its root's, so that a whole tree has one home.
+/// Maps a program to its shard. A sub-agent maps to the shard of its root program, so that one process owns
+/// the whole tree.
 /// @param id          the program
-/// @param shard_count number of shards, the same on all processes and for ever
-/// @return an index below @a shard_count
+/// @param shard_count number of shards; must be the same on all processes and must never change
+/// @return an index less than @a shard_count
 [[nodiscard]] shard_index shard_of(const program_id& id, shard_index shard_count);
 
 } // namespace masticcourse
--- a/include/masticcourse/core/invariant.hpp
+++ b/include/masticcourse/core/invariant.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Invariants that are checked in every run, not only in tests: cheap conditions that must always hold.
+/// Invariant checks that are enabled in all builds, not only in tests. Conditions must be cheap to evaluate.
 #pragma once
 
 #include <cstdint>
@@ -9,15 +9,16 @@
 namespace masticcourse
 {
 
-/// Takes a violated invariant. The default logs and aborts; a soak run may count and go on.
+/// Called for each violated invariant. The default handler logs and aborts; a soak test may install one that
+/// only counts violations.
 using invariant_handler = void (*)(std::string_view message, const std::source_location& where);
 
 /// Replaces the handler. Thread-safe.
 /// @param handler the new handler; null restores the default
-/// @return the previous one
+/// @return the previous handler
 invariant_handler set_invariant_handler(invariant_handler handler);
 
-/// @return how many violations this process has seen
+/// @return the number of violations in this process
 [[nodiscard]] std::uint64_t invariant_violations();
 
 namespace detail
@@ -30,7 +31,7 @@
 
 } // namespace masticcourse
 
-/// Checks that @a cond holds; @a message says what would be wrong.
+/// Checks that @a cond holds; @a message describes the violation.
 #define MASTICCOURSE_INVARIANT(cond, message)                                                                \
     do                                                                                                       \
     {                                                                                                        \
--- a/include/masticcourse/core/problem.hpp
+++ b/include/masticcourse/core/problem.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What a caller is told when a request fails: RFC 9457 problem documents with stable numeric ids.
+/// Errors reported to callers: RFC 9457 problem details with stable numeric ids.
 #pragma once
 
 #include <chrono>
@@ -11,8 +11,9 @@
 namespace masticcourse
 {
 
-/// Whether the request ran at its target.
-/// `no` is a promise; `unknown` says that nobody can tell any more, and that it is never run again.
+/// Whether the request was executed by its target.
+/// `no` guarantees that it was not. `unknown` means that this can no longer be determined; such a request is
+/// never executed again.
 enum class ran_state : std::uint8_t
 {
     no,
@@ -22,11 +23,11 @@
 
 [[nodiscard]] std::string_view to_string(ran_state state);
 
-/// The stable ids of problems. A number never changes its meaning; docs/PROBLEMS.md lists them.
+/// Stable problem ids. The meaning of a number never changes; docs/PROBLEMS.md lists all of them.
 enum class problem_id : std::uint16_t
 {
     none = 0,
-    // 1xx: the request itself
+    // 1xx: invalid requests
     malformed_request = 101,
     body_too_large = 102,
     wrong_method = 103,
@@ -52,7 +53,7 @@
     outcome_unknown = 306,
     cancelled = 307,
     overloaded = 308,
-    // 4xx: homes and the platform's store
+    // 4xx: program ownership and the platform's store
     no_home = 401,
     store_unavailable = 402,
     isolated = 403,
@@ -63,13 +64,13 @@
     invalid_patch = 502,
 };
 
-/// One failure as the caller sees it.
+/// A failure as reported to the caller.
 struct problem
 {
     problem_id id = problem_id::none;
     ran_state ran = ran_state::no;
     std::string detail;
-    /// When to come back, where coming back can help.
+    /// The delay after which to retry; empty if a retry cannot help.
     std::optional<std::chrono::milliseconds> retry_after;
 
     [[nodiscard]] bool failed() const
@@ -80,10 +81,10 @@
     friend bool operator==(const problem&, const problem&) = default;
 };
 
-/// @return the HTTP status that goes with @a id
+/// @return the HTTP status of @a id
 [[nodiscard]] int http_status(problem_id id);
 
-/// @return the short, unchanging title that goes with @a id
+/// @return the short, stable title of @a id
 [[nodiscard]] std::string_view title_of(problem_id id);
 
 } // namespace masticcourse
--- a/include/masticcourse/model/call.hpp
+++ b/include/masticcourse/model/call.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Programs, their calls and what comes of them, as every process knows them.
+/// Programs, their calls and the outcomes of calls, as shared by all processes.
 #pragma once
 
 #include "masticcourse/core/ids.hpp"
@@ -14,14 +14,14 @@
 namespace masticcourse
 {
 
-/// What a call asks for: tokens of a model, or one action of a plain service.
+/// The kind of a call: text generation by a model, or one action of a plain service.
 enum class call_kind : std::uint8_t
 {
     model,
     tool,
 };
 
-/// The order of the users' classes: assistance to claimants and foremen comes first.
+/// Priority classes, highest first. Assistance to claimants and foremen has the highest priority.
 enum class service_class : std::uint8_t
 {
     assistance,
@@ -29,22 +29,22 @@
     background,
 };
 
-/// What an operator or caller fixes when a program is created.
+/// The parameters of a program, set at its creation by an operator or a caller.
 struct program_spec
 {
     workspace_id workspace;
     service_class priority = service_class::standard;
-    /// Tokens that the program and all its sub-agents may spend.
+    /// Tokens that the program and all its sub-agents may use in total.
     token_count budget = 0;
-    /// How long the whole program may take, if bounded.
+    /// Time limit of the whole program, if any.
     std::optional<std::chrono::milliseconds> deadline;
-    /// The program that this one is a sub-agent of; it draws on that one's budget.
+    /// The parent program if this is a sub-agent; the sub-agent is charged to the parent's budget.
     program_id parent;
 
     friend bool operator==(const program_spec&, const program_spec&) = default;
 };
 
-/// One call as the caller sends it.
+/// A call as sent by the caller.
 struct call_request
 {
     call_key key;
@@ -52,20 +52,20 @@
     call_kind kind = call_kind::model;
     std::string input;
     bool idempotent = true;
-    /// Most tokens that the answer may have (model calls).
+    /// Maximum number of completion tokens (model calls only).
     token_count max_tokens = 0;
     std::optional<std::chrono::milliseconds> deadline;
-    /// The number of turns of this program whose outcome the caller has seen.
+    /// The number of turns of this program whose outcomes the caller has received.
     std::optional<std::uint32_t> after;
 
     friend bool operator==(const call_request&, const call_request&) = default;
 };
 
-/// What a call cost, as the target reported it.
+/// The tokens used by a call, as reported by the target.
 struct token_usage
 {
     token_count prompt = 0;
-    /// The part of @a prompt that the engine found in its cache.
+    /// The part of @a prompt that the engine served from its prefix cache.
     token_count cached = 0;
     token_count completion = 0;
 
@@ -77,7 +77,8 @@
     friend bool operator==(const token_usage&, const token_usage&) = default;
 };
 
-/// What came of a call. `error.failed()` tells failure; `ran` inside says whether it ran.
+/// The outcome of a call. `error.failed()` indicates failure; `error.ran` tells whether the call was
+/// executed.
 struct call_outcome
 {
     std::string output;
@@ -87,12 +88,12 @@
     friend bool operator==(const call_outcome&, const call_outcome&) = default;
 };
 
-/// One finished turn of a program's history.
+/// One completed turn in a program's history.
 struct turn
 {
     std::uint32_t number = 0;
     call_key key;
-    /// xxh64 of the request, to refuse a key that comes again with another body.
+    /// XXH64 digest of the request, used to reject an idempotency key that is reused with a different body.
     std::uint64_t request_digest = 0;
     service_name service;
     call_kind kind = call_kind::model;
@@ -102,14 +103,15 @@
     friend bool operator==(const turn&, const turn&) = default;
 };
 
-/// The most tokens that a call can cost: the whole prompt and the longest answer.
-/// @param history_tokens tokens of the program's history so far
+/// Returns the upper bound of a call's cost in tokens: the whole prompt plus the longest completion.
+/// @param history_tokens tokens in the program's history so far
 [[nodiscard]] token_count worst_case_cost(const call_request& request, token_count history_tokens);
 
-/// The number of tokens that @a text counts for when no engine has said so: its words.
+/// Estimates the number of tokens in @a text by its number of words, for use when no engine has reported a
+/// count.
 [[nodiscard]] token_count estimate_tokens(const std::string& text);
 
-/// The digest by which a repeated request is recognised.
+/// Returns the digest that identifies a repeated request.
 [[nodiscard]] std::uint64_t digest_of(const call_request& request);
 
 } // namespace masticcourse
--- a/include/masticcourse/model/names.hpp
+++ b/include/masticcourse/model/names.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The words for kinds and classes, as settings, the configuration and the API spell them.
+/// Names of the enumerators of kinds and classes in settings, the configuration and the API.
 #pragma once
 
 #include "masticcourse/model/call.hpp"
@@ -11,14 +11,14 @@
 namespace masticcourse
 {
 
-/// @return all kinds' words in order of the enumeration
+/// @return the names of all enumerators in order of declaration
 [[nodiscard]] std::span<const std::string_view> call_kind_names();
 [[nodiscard]] std::span<const std::string_view> service_class_names();
 
 [[nodiscard]] std::string_view to_string(call_kind kind);
 [[nodiscard]] std::string_view to_string(service_class priority);
 
-/// @return the value that @a text names, if any
+/// @return the enumerator named @a text, if any
 [[nodiscard]] std::optional<call_kind> parse_call_kind(std::string_view text);
 [[nodiscard]] std::optional<service_class> parse_service_class(std::string_view text);
 
--- a/include/masticcourse/settings/address.hpp
+++ b/include/masticcourse/settings/address.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Addresses as settings spell them: an IP number and a port.
+/// Parses addresses that consist of an IP address and a port.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 namespace masticcourse
 {
 
-/// A host and port as settings give them.
+/// An IP address and a port.
 struct ip_endpoint
 {
     std::string ip;
@@ -18,8 +18,8 @@
     friend bool operator==(const ip_endpoint&, const ip_endpoint&) = default;
 };
 
-/// @param text `127.0.0.1:80` or `[::1]:80`; names of hosts are refused
-/// @return the parts, or nothing if @a text is no address with a port from 1 to 65535
+/// @param text `127.0.0.1:80` or `[::1]:80`; host names are rejected
+/// @return the endpoint, or nothing if @a text is not an IP address with a port from 1 to 65535
 [[nodiscard]] std::optional<ip_endpoint> parse_address(std::string_view text);
 
 } // namespace masticcourse
--- a/include/masticcourse/settings/config_document.hpp
+++ b/include/masticcourse/settings/config_document.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The numbered configuration that operators patch at run time, as a JSON document:
+/// The versioned configuration that operators patch at run time, as a JSON document:
 /// `{"services": {NAME: {...}}, "workspaces": {ID: {...}}, "targets": {NAME: {...}}, "limits": {...}}`.
 #pragma once
 
@@ -18,7 +18,7 @@
 namespace masticcourse
 {
 
-/// @name What an accepted document says
+/// @name Content of an accepted document
 /// @{
 
 /// `services.NAME`
@@ -26,7 +26,7 @@
 {
     service_name name;
     call_kind kind = call_kind::model;
-    /// Whether a call that doesn't say so may be run again.
+    /// Whether a call is idempotent if its request does not say so.
     bool idempotent_default = false;
     std::chrono::milliseconds default_deadline{60'000};
     friend bool operator==(const service_config&, const service_config&) = default;
@@ -41,11 +41,11 @@
     friend bool operator==(const workspace_config&, const workspace_config&) = default;
 };
 
-/// `targets.NAME`; targets that it doesn't name take work.
+/// `targets.NAME`; targets that are not listed accept new work.
 struct target_config
 {
     process_name name;
-    /// Takes no new work.
+    /// The target is draining: it accepts no new work.
     bool leaving = false;
     friend bool operator==(const target_config&, const target_config&) = default;
 };
@@ -58,7 +58,7 @@
     friend bool operator==(const limits_config&, const limits_config&) = default;
 };
 
-/// A document, read once; the vectors are in order of names.
+/// A parsed document. The vectors are sorted by name.
 struct config_view
 {
     std::vector<service_config> services;
@@ -67,7 +67,7 @@
     limits_config limits;
     friend bool operator==(const config_view&, const config_view&) = default;
 
-    /// @name Look-ups by name; a null pointer if there is none
+    /// @name Lookup by name; returns a null pointer if there is no such element
     /// @{
     [[nodiscard]] const service_config* find_service(const service_name& name) const;
     [[nodiscard]] const workspace_config* find_workspace(const workspace_id& id) const;
@@ -76,43 +76,43 @@
 };
 /// @}
 
-/// One thing wrong with a document or a patch.
+/// One error in a document or a patch.
 struct config_error
 {
-    /// Where, as a JSON pointer (RFC 6901); empty for the whole.
+    /// JSON pointer (RFC 6901) to the invalid value; empty for the whole document.
     std::string pointer;
     std::string message;
     friend bool operator==(const config_error&, const config_error&) = default;
 };
 
-/// A valid document as canonical text: the same content always has the same text.
+/// A valid document in canonical form: equal content always serializes to the same text.
 struct accepted_config
 {
     std::string document;
 };
 
-/// A document, or all that is wrong with it at once.
+/// An accepted document, or all errors in it.
 using config_result = std::variant<accepted_config, std::vector<config_error>>;
 
-/// Most bytes of a patch or a document.
+/// Maximum size of a patch or a document in bytes.
 inline constexpr std::size_t max_config_size = std::size_t{256} << 10U;
 
-/// Applies a JSON merge patch (RFC 7396) and checks the whole outcome.
+/// Applies a JSON merge patch (RFC 7396) and validates the resulting document.
 [[nodiscard]] config_result apply_merge_patch(const std::string& document, const std::string& patch);
 
-/// Checks a whole document.
+/// Validates a document.
 [[nodiscard]] config_result check_config(const std::string& document);
 
-/// @return the document's content, or nothing if it is invalid
+/// @return the content of the document, or nothing if it is invalid
 [[nodiscard]] std::optional<config_view> parse_config(const std::string& document);
 
-/// @return the document that a new deployment starts with
+/// @return the initial document of a new deployment
 [[nodiscard]] std::string initial_config(const deployment_settings& settings);
 
-/// @return the table of all members, as it stands in docs/operators/configuration.md
+/// @return the table of all members, as included in docs/operators/configuration.md
 [[nodiscard]] std::string config_reference();
 
-/// @return all faults in one line, for a problem's detail
+/// @return all errors on one line, for the detail of a problem
 [[nodiscard]] std::string to_string(const std::vector<config_error>& errors);
 
 } // namespace masticcourse
--- a/include/masticcourse/settings/token.hpp
+++ b/include/masticcourse/settings/token.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Comparison of secret tokens.
+/// Constant-time comparison of secret tokens.
 #pragma once
 
 #include <string_view>
@@ -7,7 +7,7 @@
 namespace masticcourse
 {
 
-/// Compares two tokens in a time that depends on their lengths only. An empty token equals nothing.
+/// Compares two tokens in time that depends only on their lengths. An empty token equals no token.
 [[nodiscard]] bool tokens_equal(std::string_view a, std::string_view b);
 
 } // namespace masticcourse
--- a/include/masticcourse/store/store_op.hpp
+++ b/include/masticcourse/store/store_op.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What the control cores ask of the platform's table and object store, as values: the process sends them
-/// over HTTP, tests answer them with a fake.
+/// Operations of the control cores on the platform's table and object store, as plain values. A process sends
+/// them over HTTP; tests execute them against a fake.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 namespace masticcourse
 {
 
-/// The version of a row; 0 means that there is no such row.
+/// The version of a row; 0 means that the row does not exist.
 using row_version = std::uint64_t;
 
 /// @name Operations
@@ -23,7 +23,7 @@
     std::string key;
 };
 
-/// Writes a row if its version is still @a expected (0: if it does not exist).
+/// Writes a row if its current version is @a expected; 0 requires that the row does not exist.
 struct table_put
 {
     std::string key;
@@ -31,13 +31,13 @@
     row_version expected = 0;
 };
 
-/// Lists the rows whose keys begin with @a prefix.
+/// Lists the rows whose keys start with @a prefix.
 struct table_list
 {
     std::string prefix;
 };
 
-/// Creates an object; fails with `conflict` if one of that key exists.
+/// Creates an object; fails with `conflict` if an object with that key exists.
 struct object_create
 {
     std::string key;
@@ -49,13 +49,13 @@
     std::string key;
 };
 
-/// Deletes an object; one that does not exist counts as deleted.
+/// Deletes an object; succeeds if it does not exist.
 struct object_delete
 {
     std::string key;
 };
 
-/// Lists the keys of objects that begin with @a prefix.
+/// Lists the keys of objects that start with @a prefix.
 struct object_list
 {
     std::string prefix;
@@ -68,12 +68,12 @@
 enum class store_status : std::uint8_t
 {
     ok,
-    /// The condition of a write did not hold: nothing was written.
+    /// The precondition of a write failed; nothing was written.
     conflict,
     not_found,
-    /// Refused (outage, rate limit): nothing was written.
+    /// The request was rejected (outage, rate limit); nothing was written.
     unavailable,
-    /// No answer: a write may have taken effect or not.
+    /// No usable response; a write may or may not have taken effect.
     outcome_unknown,
 };
 
@@ -86,15 +86,15 @@
     friend bool operator==(const table_row&, const table_row&) = default;
 };
 
-/// The answer to one operation.
+/// The reply to one operation.
 struct store_reply
 {
     store_status status = store_status::ok;
-    /// The row's new or present version (`table_get`, `table_put`).
+    /// The new or current version of the row (`table_get`, `table_put`).
     row_version version = 0;
-    /// The row's value or the object's bytes.
+    /// The value of the row or the bytes of the object.
     std::string value;
-    /// The rows of a `table_list`; for an `object_list` only the keys are set.
+    /// The rows found by `table_list`; for `object_list`, only the keys are set.
     std::vector<table_row> rows;
 };
 
--- a/src/core/invariant.cpp
+++ b/src/core/invariant.cpp
@@ -11,7 +11,8 @@
 namespace
 {
 
-/// Event 1901 of the catalogue; the core layer does not know the telemetry layer, so it is written out here.
+/// Logs event 1901 of the event catalogue. The text is formatted here because core must not depend on
+/// telemetry.
 void log_and_abort(std::string_view message, const std::source_location& where)
 {
     LOG(FATAL) << "E1901 invariant_violated message=\"" << message << "\" where=" << where.file_name() << ':'
--- a/src/input/guarded_json.cpp
+++ b/src/input/guarded_json.cpp
@@ -11,11 +11,11 @@
 
 using nlohmann::json;
 
-/// Watches a parse for what the parser itself lets pass.
+/// Checks for errors that the parser itself accepts: excessive nesting and duplicate members.
 class json_validator
 {
   public:
-    /// @return whether the parser may keep the value
+    /// @return whether the parser should keep the value
     bool on_event(int depth, json::parse_event_t event, const json& parsed)
     {
         switch (event)
@@ -58,7 +58,7 @@
     {
         if (!m_member_names.back().insert(name).second)
         {
-            m_error = "a member stands twice: " + name;
+            m_error = "member appears twice: " + name;
         }
     }
 
@@ -84,7 +84,7 @@
     }
     if (value.is_discarded())
     {
-        return {{}, "no JSON in UTF-8"};
+        return {{}, "not valid UTF-8 encoded JSON"};
     }
     return {std::move(value), {}};
 }
--- a/src/input/guarded_json.hpp
+++ b/src/input/guarded_json.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// JSON from outside, parsed with bounds: nothing throws, and no text costs more than its length.
+/// Parses untrusted JSON within limits. Nothing here throws, and the cost is bounded by the length of the
+/// text.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -10,18 +11,19 @@
 namespace masticcourse::detail
 {
 
-/// Deepest nesting of objects and arrays.
+/// Maximum nesting depth of objects and arrays.
 inline constexpr int max_json_depth = 32;
 
-/// A value, or why there is none.
+/// A parsed value, or an error message.
 struct json_parse_result
 {
     nlohmann::json value;
-    /// Empty if the text is good.
+    /// Empty on success.
     std::string error;
 };
 
-/// Refuses texts that are too long, too deep, no JSON, no UTF-8, or that name a member twice.
+/// Rejects texts that are too long, nested too deeply, not valid JSON, not valid UTF-8, or that contain
+/// duplicate members.
 [[nodiscard]] json_parse_result parse_bounded_json(const std::string& text, std::size_t max_size);
 
 } // namespace masticcourse::detail
--- a/src/input/json_input.cpp
+++ b/src/input/json_input.cpp
@@ -59,7 +59,7 @@
     return {.id = problem_id::invalid_field, .ran = ran_state::no, .detail = to_string(errors)};
 }
 
-/// An object whose members passed their rules, or the problem.
+/// An object that conforms to its member rules, or a problem.
 using validated_object = std::variant<json, problem>;
 
 validated_object parse_object(const std::string& body, const input_limits& limits,
@@ -87,7 +87,7 @@
     if (key.empty() || key.value.size() > max_key_length)
     {
         return {{std::string{idempotency_key_header},
-                 "must have from 1 to " + std::to_string(max_key_length) + " bytes"}};
+                 "length must be from 1 to " + std::to_string(max_key_length) + " bytes"}};
     }
     return {};
 }
--- a/src/settings/config_document.cpp
+++ b/src/settings/config_document.cpp
@@ -66,11 +66,11 @@
                 .doc = "Times that one program may make the same call."},
 };
 
-/// One member of the document whose own members are named by the operators.
+/// A section of the document whose members have names chosen by operators.
 struct section_rule
 {
     std::string_view name;
-    /// How the members' own names are called in the reference.
+    /// Placeholder for the names of the members in the reference.
     std::string_view placeholder;
     std::span<const member_rule> rules;
 };
@@ -96,7 +96,7 @@
         const std::string element = detail::member_pointer(pointer, name);
         if (const auto error = detail::validate_text(detail::text_format::name, name))
         {
-            errors.push_back({element, "its name " + *error});
+            errors.push_back({element, "name " + *error});
         }
         detail::check_members(value, element, rule.rules, errors);
     }
@@ -158,7 +158,8 @@
 {
     service_config row{.name = {name}};
     row.kind = detail::read_kind(value, "kind").value_or(row.kind);
-    // Nobody said that an action may be repeated; generating an answer again harms nobody.
+    // A tool call may have side effects, so it is not repeated by default; repeating a model call is
+    // harmless.
     row.idempotent_default =
         detail::read_member<bool>(value, "idempotent_default").value_or(row.kind == call_kind::model);
     row.default_deadline =
@@ -258,12 +259,12 @@
     auto base = detail::parse_bounded_json(document, max_config_size);
     if (!base.error.empty())
     {
-        return make_error("the document in force: " + base.error);
+        return make_error("current document: " + base.error);
     }
     const auto parsed_patch = detail::parse_bounded_json(patch, max_config_size);
     if (!parsed_patch.error.empty())
     {
-        return make_error("the patch: " + parsed_patch.error);
+        return make_error("patch: " + parsed_patch.error);
     }
     base.value.merge_patch(parsed_patch.value);
     return validate_and_serialize(base.value);
--- a/src/settings/key_table.hpp
+++ b/src/settings/key_table.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The table of all settings keys. Reading, checking and the reference page all come from it.
+/// The table of all settings keys. Parsing, validation and the reference page are driven by it.
 #pragma once
 
 #include "text_format.hpp"
@@ -14,30 +14,30 @@
 namespace masticcourse::detail
 {
 
-/// Which member of @a Row a key sets; its type is the key's type.
+/// The member of @a Row that a key sets. The type of the member determines the type of the key.
 template <typename Row>
 using member_variant = std::variant<std::string Row::*, bool Row::*, std::uint32_t Row::*, std::size_t Row::*,
                                     token_count Row::*, std::chrono::milliseconds Row::*, process_name Row::*,
                                     region_name Row::*, failure_domain_name Row::*, service_name Row::*,
                                     workspace_id Row::*, call_kind Row::*, service_class Row::*>;
 
-/// One key of one table of the file.
+/// The definition of one key of a table of the settings file.
 template <typename Row>
 struct key_spec
 {
     std::string_view key;
     member_variant<Row> member;
-    /// A key that is not required keeps its member's initial value.
+    /// If an optional key is omitted, the member keeps its default value.
     bool required = false;
-    /// For numbers.
+    /// Inclusive range of a number.
     std::int64_t minimum = 0;
     std::int64_t maximum = 0;
-    /// For texts.
+    /// Format of a string.
     text_format format = text_format::name;
     std::string_view doc;
 };
 
-/// The keys outside any table.
+/// The top-level keys of the file.
 struct root_settings
 {
     std::string customer;
@@ -47,7 +47,7 @@
 
 inline constexpr std::int64_t max_duration_ms = 3'600'000;
 inline constexpr std::int64_t max_tokens = 1'000'000'000;
-/// What the readers of bodies take at most (input_limits).
+/// The default limit of the request parsers (input_limits::max_body).
 inline constexpr std::int64_t max_body_bytes = 1 << 20;
 
 inline constexpr std::array root_keys{
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -17,7 +17,7 @@
 using detail::diagnostic_list;
 using detail::key_spec;
 
-/// Reads the array of tables @a name; notes the line of each element.
+/// Reads the array of tables @a name and records the line number of each element.
 template <typename Row>
 std::vector<Row> read_array(const toml::table& root, std::string_view name,
                             std::span<const key_spec<Row>> keys, std::vector<std::uint32_t>& lines,
@@ -50,7 +50,7 @@
     return rows;
 }
 
-/// Reads the table @a name; one that is missing counts as empty.
+/// Reads the table @a name; a missing table is treated as empty.
 template <typename Row>
 Row read_table(const toml::table& root, std::string_view name, std::span<const key_spec<Row>> keys,
                diagnostic_list& diagnostics)
@@ -70,7 +70,8 @@
     return detail::table_reader<Row>{*table, path, diagnostics}.read(keys);
 }
 
-/// The file's own faults, before the tokens file and the checks between parts.
+/// The content of the settings file before the tokens file is read and the parts are checked against each
+/// other.
 struct file_content
 {
     deployment_settings settings;
@@ -153,7 +154,7 @@
     std::ifstream file{path, std::ios::binary};
     if (!file)
     {
-        return std::vector{settings_diagnostic{path, 0, "", "can't be read"}};
+        return std::vector{settings_diagnostic{path, 0, "", "cannot be read"}};
     }
     const std::string text{std::istreambuf_iterator<char>{file}, {}};
     return parse_settings(text, path);
--- a/src/settings/settings_checks.cpp
+++ b/src/settings/settings_checks.cpp
@@ -16,7 +16,7 @@
     return std::string{table} + "[" + std::to_string(n) + "]." + std::string{key};
 }
 
-/// Notes values that stand twice.
+/// Reports duplicate values.
 class duplicate_detector
 {
   public:
@@ -31,7 +31,7 @@
         const auto [it, added] = m_first_keys.try_emplace(value, key);
         if (!added)
         {
-            m_diagnostics.add(line, key, "the same as " + it->second);
+            m_diagnostics.add(line, key, "duplicates " + it->second);
         }
     }
 
--- a/src/settings/settings_checks.hpp
+++ b/src/settings/settings_checks.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What must hold between the parts of a deployment's settings, beyond what each key says for itself.
+/// Consistency checks between the parts of a deployment's settings, in addition to the checks of each key.
 #pragma once
 
 #include "table_reader.hpp"
@@ -7,7 +7,7 @@
 namespace masticcourse::detail
 {
 
-/// Where each element of the settings stands in the file, in order of the vectors of deployment_settings.
+/// Line numbers of the elements in the settings file, in the order of the vectors of deployment_settings.
 struct settings_line_numbers
 {
     std::vector<std::uint32_t> entries;
@@ -17,7 +17,7 @@
     std::uint32_t limits = 0;
 };
 
-/// Notes duplicate names and addresses, unknown services, missing tokens, and periods that contradict.
+/// Reports duplicate names and addresses, unknown services, missing tokens, and contradictory time limits.
 void check_settings(const deployment_settings& settings, const settings_line_numbers& lines,
                     diagnostic_list& diagnostics);
 
--- a/src/settings/settings_reference.cpp
+++ b/src/settings/settings_reference.cpp
@@ -30,7 +30,7 @@
     return text;
 }
 
-/// How a member's type and initial value read in the reference.
+/// The type and default value of a key, as printed in the reference.
 struct value_description
 {
     std::string type;
--- a/src/settings/table_reader.hpp
+++ b/src/settings/table_reader.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Reads one table of the settings file by the rows of the key table, and notes every fault.
+/// Reads one table of the settings file according to the key table and reports all errors.
 #pragma once
 
 #include "key_table.hpp"
@@ -19,7 +19,7 @@
 namespace masticcourse::detail
 {
 
-/// Collects the faults of one file.
+/// Collects the diagnostics of one file.
 class diagnostic_list
 {
   public:
@@ -40,13 +40,13 @@
     std::vector<settings_diagnostic> m_diagnostics;
 };
 
-/// @return the line at which @a node stands
+/// @return the line number of @a node
 [[nodiscard]] inline std::uint32_t line_of(const toml::node& node)
 {
     return node.source().begin.line;
 }
 
-/// Reads values into the members of one @a Row.
+/// Reads the values of a table into the members of a @a Row.
 template <typename Row>
 class table_reader
 {
@@ -56,7 +56,7 @@
     {
     }
 
-    /// @return the row; keys with faults keep their initial values
+    /// @return the row; members with invalid keys keep their default values
     [[nodiscard]] Row read(std::span<const key_spec<Row>> keys)
     {
         Row row;
@@ -108,7 +108,7 @@
         const auto text = node.value_exact<std::string>();
         if (!text)
         {
-            report(node, key.key, "must be a text");
+            report(node, key.key, "must be a string");
         }
         else if (const auto error = validate_text(key.format, *text))
         {
--- a/src/settings/text_format.cpp
+++ b/src/settings/text_format.cpp
@@ -48,7 +48,7 @@
     case text_format::address:
         return parse_address(text)
                    ? std::nullopt
-                   : std::optional<std::string>{"must be an IP number and port, such as 127.0.0.1:8080"};
+                   : std::optional<std::string>{"must be an IP address and port, such as 127.0.0.1:8080"};
     case text_format::secret:
         return is_secret(text) ? std::nullopt
                                : std::optional<std::string>{"must be 16 to 256 visible characters"};
--- a/src/settings/text_format.hpp
+++ b/src/settings/text_format.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What texts of the settings and the configuration may be.
+/// Formats of strings in the settings and the configuration.
 #pragma once
 
 #include <cstdint>
@@ -11,14 +11,14 @@
 
 enum class text_format : std::uint8_t
 {
-    /// A name: letters, digits, `-`, `_` and `.`.
+    /// 1 to 64 letters, digits, `-`, `_` and `.`.
     name,
     address,
     secret,
     path,
 };
 
-/// What is wrong with a text, or nothing.
+/// @return an error message, or nothing if @a text is valid
 [[nodiscard]] std::optional<std::string> validate_text(text_format format, const std::string& text);
 
 } // namespace masticcourse::detail
--- a/src/settings/token.cpp
+++ b/src/settings/token.cpp
@@ -11,7 +11,7 @@
     {
         return false;
     }
-    // Every byte is looked at: the time says nothing about where two tokens first differ.
+    // All bytes are compared, so that the timing does not reveal the position of the first difference.
     volatile unsigned char difference = 0;
     for (std::size_t n = 0; n < a.size(); ++n)
     {
--- a/src/settings/tokens_file.cpp
+++ b/src/settings/tokens_file.cpp
@@ -11,7 +11,7 @@
     auto token = node.value_exact<std::string>();
     if (!token || validate_text(text_format::secret, *token))
     {
-        diagnostics.add(line_of(node), key, "must be a text of 16 to 256 visible characters");
+        diagnostics.add(line_of(node), key, "must be a string of 16 to 256 visible characters");
         return {};
     }
     return std::move(*token);
--- a/src/settings/tokens_file.hpp
+++ b/src/settings/tokens_file.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The file that keeps the tokens apart from the settings.
+/// Reads the tokens file, which keeps secrets out of the settings file.
 #pragma once
 
 #include "table_reader.hpp"
@@ -8,8 +8,8 @@
 {
 
 /// Reads `operator` and the table `workspaces` of a tokens file into @a settings.
-/// @param path   where the file is
-/// @param faults takes the faults, with the file's own name and lines
+/// @param path        path of the tokens file
+/// @param diagnostics receives the errors, with the name and line numbers of the tokens file
 void read_tokens_file(const std::string& path, deployment_settings& settings,
                       std::vector<settings_diagnostic>& diagnostics);
 
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -41,7 +41,7 @@
     return request;
 }
 
-/// The request of each operation.
+/// Builds the HTTP request of each operation.
 struct request_builder
 {
     http_client_request operator()(const table_get& op) const
@@ -112,7 +112,7 @@
     case status_unavailable:
         return store_status::unavailable;
     default:
-        // Whatever else it means, it does not say that nothing was written.
+        // An unexpected status does not guarantee that nothing was written.
         return store_status::outcome_unknown;
     }
 }
@@ -129,8 +129,8 @@
     return version;
 }
 
-/// Reads a listing: rows as objects, keys of objects as strings.
-/// @return false if the answer is no listing
+/// Parses a listing: table rows are JSON objects, object keys are JSON strings.
+/// @return false if @a body is not a listing
 bool parse_listing(const std::string& body, std::vector<table_row>& rows)
 {
     const auto document = json::parse(body, nullptr, false);
--- a/tests/unit/test_config_document.cpp
+++ b/tests/unit/test_config_document.cpp
@@ -1,4 +1,4 @@
-// The configuration document: patches, faults with pointers, canonical text, fuzzed patches.
+// Tests of the configuration document: patches, errors with JSON pointers, canonical text, mutated patches.
 #include "masticcourse/settings/config_document.hpp"
 
 #include <doctest/doctest.h>
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("a merge patch adds, changes and removes, and the outcome is canonical")
+TEST_CASE("a merge patch adds, changes and removes members, and the result is canonical")
 {
     struct row
     {
@@ -56,7 +56,7 @@
     }
 }
 
-TEST_CASE("each fault of a patched document is named by its pointer")
+TEST_CASE("each error in a patched document has its JSON pointer")
 {
     struct row
     {
@@ -93,14 +93,14 @@
     }
 }
 
-TEST_CASE("all faults come at once")
+TEST_CASE("all errors are reported at once")
 {
     const auto result =
         apply_merge_patch(base_document, R"({"services":{"x":{}},"limits":{"turn_limit":0},"colour":1})");
     CHECK(std::get<std::vector<config_error>>(result).size() == 3);
 }
 
-TEST_CASE("texts out of bounds are refused")
+TEST_CASE("texts that are too deep, too long or not UTF-8 are rejected")
 {
     CHECK(patch_result(base_document, nested_json(33)).find("nested") != std::string::npos);
     CHECK(patch_result(base_document, nested_json(32)).find("nested") == std::string::npos);
@@ -109,7 +109,7 @@
           std::string::npos);
 }
 
-TEST_CASE("a document that patches have made too long is refused")
+TEST_CASE("a patch that makes the document too long is rejected")
 {
     std::string document = "{}";
     std::string error_text;
@@ -133,7 +133,7 @@
     CHECK(document.size() <= max_config_size);
 }
 
-TEST_CASE("the view has what the document says and defaults for the rest")
+TEST_CASE("parse_config reads the document and uses defaults for omitted members")
 {
     const auto view = parse_config(
         R"({"services":{"tool":{"kind":"tool","default_deadline_ms":4},"llm":{"kind":"model","default_deadline_ms":7}},
@@ -153,7 +153,7 @@
     CHECK_FALSE(parse_config("[]"));
 }
 
-TEST_CASE("a deployment of 3,300 workspaces and 7 models starts with a valid document")
+TEST_CASE("the initial document of a deployment with 3,300 workspaces and 7 models is valid")
 {
     deployment_settings settings;
     for (int n = 0; n < 3300; ++n)
@@ -172,7 +172,7 @@
     CHECK(parse_config(document)->workspaces.size() == 3300);
 }
 
-TEST_CASE("mutated patches are accepted as valid canonical documents or refused with faults")
+TEST_CASE("mutated patches yield valid canonical documents or errors")
 {
     const std::string patch =
         R"({"services":{"llm":{"kind":"tool","default_deadline_ms":3}},"targets":{"t":{"leaving":true}}})";
--- a/tests/unit/test_core.cpp
+++ b/tests/unit/test_core.cpp
@@ -1,4 +1,4 @@
-// Identifiers, problems and requests.
+// Tests of identifiers, problems, token estimates and request digests.
 #include "masticcourse/core/ids.hpp"
 #include "masticcourse/core/problem.hpp"
 #include "masticcourse/model/call.hpp"
@@ -11,7 +11,7 @@
 
 TEST_CASE("shard_of")
 {
-    SUBCASE("is below the count and the same each time")
+    SUBCASE("is less than the shard count and deterministic")
     {
         for (const auto* name : {"a", "b", "program-17"})
         {
@@ -52,7 +52,7 @@
     }
 }
 
-TEST_CASE("digest_of tells bodies apart")
+TEST_CASE("digest_of distinguishes different bodies")
 {
     call_request a{.key = {"k"}, .service = {"s"}, .input = "x", .max_tokens = 3};
     call_request b = a;
--- a/tests/unit/test_json_input.cpp
+++ b/tests/unit/test_json_input.cpp
@@ -1,4 +1,4 @@
-// Callers' bodies: valid ones, faults by field, and mutated ones that must never throw.
+// Tests of request body parsing: valid bodies, errors by field, and mutated bodies, which must never throw.
 #include "masticcourse/input/json_input.hpp"
 
 #include <doctest/doctest.h>
@@ -17,7 +17,7 @@
 const std::string call_body =
     R"({"service":"llm","input":"Hello","idempotent":true,"max_tokens":32,"deadline_ms":500,"after":3})";
 
-/// Overwrites bytes; the same pairs give the same text.
+/// Overwrites the bytes at the given positions (modulo the length).
 std::string mutate(std::string text, const std::vector<std::pair<std::uint16_t, char>>& mutations)
 {
     for (const auto& [at, c] : mutations)
@@ -27,7 +27,7 @@
     return text;
 }
 
-/// Whether there is a value, or a problem that says that nothing ran.
+/// Whether the result is a value, or a problem that guarantees that nothing was executed.
 template <typename Value>
 bool is_value_or_not_run(const std::variant<Value, problem>& result)
 {
@@ -37,7 +37,7 @@
 
 } // namespace
 
-TEST_CASE("a program's body is read whole")
+TEST_CASE("all members of a program body are parsed")
 {
     const auto result = read_program_spec(program_body);
     REQUIRE(std::holds_alternative<program_spec>(result));
@@ -48,7 +48,7 @@
                                                          .parent = {"p-1"}});
 }
 
-TEST_CASE("a call's body is read whole")
+TEST_CASE("all members of a call body are parsed")
 {
     const auto result = read_call_request(call_body, {"k"});
     REQUIRE(std::holds_alternative<call_request>(result));
@@ -61,7 +61,7 @@
                                                          .after = 3});
 }
 
-TEST_CASE("what a call's body leaves out comes from the configuration")
+TEST_CASE("omitted members of a call body are taken from the configuration")
 {
     const auto config = parse_config(
         R"({"services":{"llm":{"kind":"model"},"tool":{"kind":"tool","default_deadline_ms":9}}})");
@@ -91,13 +91,13 @@
     CHECK(std::get<problem>(unknown).id == problem_id::unknown_service);
 }
 
-TEST_CASE("without a configuration only the caller's word makes a call idempotent")
+TEST_CASE("without a configuration a call is idempotent only if its body says so")
 {
     const auto result = read_call_request(R"({"service":"s","input":""})", {"k"});
     CHECK_FALSE(std::get<call_request>(result).idempotent);
 }
 
-TEST_CASE("each fault of a body names its field and says that nothing ran")
+TEST_CASE("each error in a body names its field and states that nothing was executed")
 {
     struct row
     {
@@ -136,7 +136,7 @@
     }
 }
 
-TEST_CASE("bodies and keys out of bounds are refused")
+TEST_CASE("oversized bodies and keys of invalid length are rejected")
 {
     const auto too_large = read_call_request(std::string(300, ' '), {"k"}, {.max_body = 200});
     CHECK(std::get<problem>(too_large).id == problem_id::body_too_large);
@@ -149,7 +149,7 @@
     CHECK(std::get<problem>(read_program_spec(R"({"budget":0})")).id == problem_id::invalid_field);
 }
 
-TEST_CASE("mutated bodies are read or refused, and nothing throws")
+TEST_CASE("mutated bodies are parsed or rejected without throwing")
 {
     const auto passed = rc::check(
         [](const std::vector<std::pair<std::uint16_t, char>>& mutations)
@@ -162,7 +162,7 @@
     CHECK(passed);
 }
 
-TEST_CASE("any bytes are read or refused, and nothing throws")
+TEST_CASE("arbitrary bytes are parsed or rejected without throwing")
 {
     const auto passed = rc::check(
         [](const std::string& bytes)
--- a/tests/unit/test_settings.cpp
+++ b/tests/unit/test_settings.cpp
@@ -1,4 +1,4 @@
-// Settings: the committed deployments, and every kind of fault with its line and key.
+// Tests of settings: the committed deployments, and each kind of error with its line and key.
 #include "masticcourse/settings/address.hpp"
 #include "masticcourse/settings/settings.hpp"
 #include "masticcourse/settings/token.hpp"
@@ -66,7 +66,7 @@
 
 } // namespace
 
-TEST_CASE("the committed deployments are valid and hold the users' sizes")
+TEST_CASE("the committed deployments are valid and have the expected sizes")
 {
     struct row
     {
@@ -99,7 +99,7 @@
     }
 }
 
-TEST_CASE("what a file leaves out has the initial value")
+TEST_CASE("omitted keys have their default values")
 {
     const auto result = parse_settings(valid_text, "demo.toml");
     REQUIRE(std::holds_alternative<deployment_settings>(result));
@@ -109,7 +109,7 @@
     CHECK(settings.services.front().kind == call_kind::model);
 }
 
-TEST_CASE("each fault is named with its line and key")
+TEST_CASE("each error is reported with its line and key")
 {
     struct row
     {
@@ -151,7 +151,7 @@
     }
 }
 
-TEST_CASE("all faults of a file come at once, in order of their lines")
+TEST_CASE("all errors in a file are reported at once, in order of line numbers")
 {
     auto text = replace_first(valid_text, "127.0.0.1:21901", "store");
     text = replace_first(text, "kind = \"model\"", "kind = 1\ncolour = 2");
@@ -161,7 +161,7 @@
     CHECK(std::ranges::is_sorted(diagnostics, {}, &settings_diagnostic::line));
 }
 
-TEST_CASE("a missing file is a fault")
+TEST_CASE("a missing file is reported as an error")
 {
     const auto result = read_settings("/nonexistent/settings.toml");
     CHECK(std::get<std::vector<settings_diagnostic>>(result).size() == 1);
@@ -180,7 +180,7 @@
     }
 }
 
-TEST_CASE("same_token")
+TEST_CASE("tokens_equal")
 {
     CHECK(tokens_equal("abc", "abc"));
     CHECK_FALSE(tokens_equal("abc", "abd"));
--- a/tests/unit/test_store_client.cpp
+++ b/tests/unit/test_store_client.cpp
@@ -1,4 +1,5 @@
-// The store client against the stand-in over HTTP, with each of its faults.
+// Tests of the store client over HTTP against the store stand-in, with each fault that the stand-in can
+// inject.
 #include "masticcourse/net/http_server.hpp"
 #include "masticcourse/net/percent.hpp"
 #include "masticcourse/store/store_client.hpp"
@@ -19,7 +20,7 @@
 
 struct store_fixture
 {
-    // The stand-in runs on one thread.
+    // One I/O thread, because the stand-in is single-threaded.
     store_fixture()
         : threads(1), store(threads.context()),
           server(threads.context(), "127.0.0.1:0", {},
@@ -45,7 +46,7 @@
         return reply.get();
     }
 
-    /// @return the status of the answer
+    /// @return the HTTP status of the response
     int set_faults(const std::string& faults)
     {
         return fetch(http, {.address = loopback(server.port()),
@@ -67,7 +68,7 @@
     store_client client;
 };
 
-/// Keys that break what is not percent-encoded.
+/// Keys that produce invalid requests unless they are percent-encoded.
 const std::array<std::string, 4> special_keys{"plain", "a/b#c", "journal/x y?&%", "\xC3\xBArad/\x01"};
 
 } // namespace
@@ -111,27 +112,27 @@
 TEST_CASE("store_client: faults")
 {
     store_fixture it;
-    SUBCASE("an outage is a refusal")
+    SUBCASE("an outage is reported as unavailable")
     {
         it.set_faults(R"({"outage":true})");
         CHECK(it.run(table_put{"k", "a", 0}).status == store_status::unavailable);
         CHECK(it.run(table_get{"k"}).status == store_status::unavailable);
     }
-    SUBCASE("a rate is a refusal")
+    SUBCASE("a rate limit is reported as unavailable")
     {
         it.set_faults(R"({"writes_per_second":0})");
         CHECK(it.run(object_create{"k", "a"}).status == store_status::unavailable);
         it.set_faults(R"({"writes_per_second":null})");
         CHECK(it.run(object_get{"k"}).status == store_status::not_found);
     }
-    SUBCASE("a lost answer is told from a refusal, and the write is there")
+    SUBCASE("a lost response is distinguished from a rejection, and the write took effect")
     {
         it.set_faults(R"({"lose_answers":1})");
         CHECK(it.run(object_create{"k", "a"}).status == store_status::outcome_unknown);
         CHECK(it.run(object_get{"k"}).value == "a");
         CHECK(it.stats().find(R"("writes":1)") != std::string::npos);
     }
-    SUBCASE("a slow answer is lost too")
+    SUBCASE("a response after the timeout counts as lost")
     {
         it.set_faults(R"({"delay_ms":600000})");
         CHECK(it.run(table_put{"k", "a", 0}, std::chrono::milliseconds{30}).status ==
@@ -139,12 +140,12 @@
         it.set_faults(R"({"delay_ms":0})");
         CHECK(it.run(table_get{"k"}).value == "a");
     }
-    SUBCASE("a short delay only delays")
+    SUBCASE("a delay shorter than the timeout has no effect on the status")
     {
         it.set_faults(R"({"delay_ms":1})");
         CHECK(it.run(table_put{"k", "a", 0}).status == store_status::ok);
     }
-    SUBCASE("nobody there: nothing was written")
+    SUBCASE("a refused connection is reported as unavailable")
     {
         store_client unreachable(it.http, "127.0.0.1:1");
         synchronized_value<std::optional<store_status>> status;
@@ -155,7 +156,7 @@
     }
 }
 
-TEST_CASE("platform store over HTTP: faults and stats on command")
+TEST_CASE("platform store over HTTP: faults and statistics endpoints")
 {
     store_fixture it;
     CHECK(it.set_faults(R"({"outage":true})") == 200);
