--- a/apps/masticcourse_main.cpp
+++ b/apps/masticcourse_main.cpp
@@ -14,8 +14,8 @@
     try
     {
         const std::vector<std::string> args(argv + 1, argv + argc);
-        console to{std::cout, std::cerr, ::isatty(STDERR_FILENO) != 0};
-        return static_cast<int>(run_command_line(args, to));
+        console output{std::cout, std::cerr, ::isatty(STDERR_FILENO) != 0};
+        return static_cast<int>(run_command_line(args, output));
     }
     catch (const std::exception& error)
     {
--- a/include/masticcourse/cli/command_line.hpp
+++ b/include/masticcourse/cli/command_line.hpp
@@ -32,6 +32,6 @@
 
 /// Runs one command.
 /// @param args the arguments after the program's name
-exit_code run_command_line(const std::vector<std::string>& args, console& to);
+exit_code run_command_line(const std::vector<std::string>& args, console& output);
 
 } // namespace masticcourse
--- a/include/masticcourse/telemetry/hlc.hpp
+++ b/include/masticcourse/telemetry/hlc.hpp
@@ -12,14 +12,14 @@
 {
 
 /// A moment on the hybrid logical clock.
-struct hlc_stamp
+struct hlc_timestamp
 {
     /// Wall time since the Unix epoch.
     std::chrono::microseconds wall{};
     /// Orders stamps of the same wall time.
     std::uint32_t counter = 0;
 
-    friend auto operator<=>(const hlc_stamp&, const hlc_stamp&) = default;
+    friend auto operator<=>(const hlc_timestamp&, const hlc_timestamp&) = default;
 };
 
 /// Gives out stamps that only grow, also when the wall clock steps back. Thread-safe.
@@ -34,16 +34,16 @@
     explicit hybrid_clock(wall_clock wall);
 
     /// @return a stamp later than all that this clock gave out or observed
-    [[nodiscard]] hlc_stamp now();
+    [[nodiscard]] hlc_timestamp now();
 
     /// Takes note of another process's stamp.
-    /// @return a stamp later than @a seen and than all before
-    hlc_stamp observe(const hlc_stamp& seen);
+    /// @return a stamp later than @a remote and than all before
+    hlc_timestamp observe(const hlc_timestamp& remote);
 
   private:
     wall_clock m_wall;
     std::mutex m_mutex;
-    hlc_stamp m_last;
+    hlc_timestamp m_last;
 };
 
 } // namespace masticcourse
--- a/include/masticcourse/telemetry/timeline.hpp
+++ b/include/masticcourse/telemetry/timeline.hpp
@@ -28,7 +28,7 @@
 /// One event of the time line.
 struct timeline_event
 {
-    hlc_stamp stamp;
+    hlc_timestamp timestamp;
     event_id id{};
     process_name process;
     program_id program;
--- a/src/cli/command.hpp
+++ b/src/cli/command.hpp
@@ -15,7 +15,7 @@
 namespace po = boost::program_options;
 
 /// One command: what it is called, what it takes, what it does.
-struct command_row
+struct command_descriptor
 {
     std::string_view name;
     /// How its positional argument is called in the help; empty if it takes none.
@@ -28,23 +28,23 @@
 /// The name under which a positional argument is found.
 inline constexpr const char* argument_key = "argument";
 
-[[nodiscard]] std::span<const command_row> all_commands();
+[[nodiscard]] std::span<const command_descriptor> all_commands();
 
 /// @name The commands
 /// @{
-extern const command_row check_command;
-extern const command_row patch_command;
-extern const command_row status_command;
-extern const command_row programs_command;
-extern const command_row timeline_command;
-extern const command_row load_command;
-extern const command_row events_command;
+extern const command_descriptor check_command;
+extern const command_descriptor patch_command;
+extern const command_descriptor status_command;
+extern const command_descriptor programs_command;
+extern const command_descriptor timeline_command;
+extern const command_descriptor load_command;
+extern const command_descriptor events_command;
 /// @}
 
 /// @return the positional argument, or an empty text
-[[nodiscard]] std::string argument_of(const po::variables_map& options);
+[[nodiscard]] std::string positional_argument(const po::variables_map& options);
 
 /// @return the option's text, or an empty one
-[[nodiscard]] std::string text_of(const po::variables_map& options, const char* name);
+[[nodiscard]] std::string option_text(const po::variables_map& options, const char* name);
 
 } // namespace masticcourse::detail
--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -14,21 +14,21 @@
 namespace detail
 {
 
-std::span<const command_row> all_commands()
+std::span<const command_descriptor> all_commands()
 {
     static const std::array commands{check_command,    patch_command, status_command, programs_command,
                                      timeline_command, load_command,  events_command};
     return commands;
 }
 
-std::string text_of(const po::variables_map& options, const char* name)
+std::string option_text(const po::variables_map& options, const char* name)
 {
     return options.count(name) != 0 ? options[name].as<std::string>() : std::string{};
 }
 
-std::string argument_of(const po::variables_map& options)
+std::string positional_argument(const po::variables_map& options)
 {
-    return text_of(options, argument_key);
+    return option_text(options, argument_key);
 }
 
 } // namespace detail
@@ -37,7 +37,7 @@
 {
 
 namespace po = boost::program_options;
-using detail::command_row;
+using detail::command_descriptor;
 
 std::string overview()
 {
@@ -53,7 +53,7 @@
     return text.str();
 }
 
-po::options_description visible_options(const command_row& command)
+po::options_description visible_options(const command_descriptor& command)
 {
     po::options_description visible{"Options"};
     command.add_options(visible);
@@ -61,7 +61,7 @@
     return visible;
 }
 
-std::string help_of(const command_row& command)
+std::string help_text(const command_descriptor& command)
 {
     std::ostringstream text;
     text << "masticcourse " << command.name << " [OPTIONS]";
@@ -73,7 +73,7 @@
     return text.str();
 }
 
-po::variables_map parse_options(const command_row& command, const std::vector<std::string>& args)
+po::variables_map parse_options(const command_descriptor& command, const std::vector<std::string>& args)
 {
     po::options_description all = visible_options(command);
     po::positional_options_description positional;
@@ -91,7 +91,8 @@
     return options;
 }
 
-exit_code run_command(const command_row& command, const std::vector<std::string>& args, console& to)
+exit_code run_command(const command_descriptor& command, const std::vector<std::string>& args,
+                      console& output)
 {
     po::variables_map options;
     try
@@ -100,34 +101,34 @@
     }
     catch (const po::error& error)
     {
-        to.err << "masticcourse " << command.name << ": " << error.what() << "\n";
+        output.err << "masticcourse " << command.name << ": " << error.what() << "\n";
         return exit_code::usage;
     }
     if (options.count("help") != 0)
     {
-        to.out << help_of(command);
+        output.out << help_text(command);
         return exit_code::ok;
     }
-    return command.run(options, to);
+    return command.run(options, output);
 }
 
 } // namespace
 
-exit_code run_command_line(const std::vector<std::string>& args, console& to)
+exit_code run_command_line(const std::vector<std::string>& args, console& output)
 {
     if (args.empty() || args.front() == "--help")
     {
-        (args.empty() ? to.err : to.out) << overview();
+        (args.empty() ? output.err : output.out) << overview();
         return args.empty() ? exit_code::usage : exit_code::ok;
     }
     const auto commands = detail::all_commands();
-    const auto it = std::ranges::find(commands, std::string_view{args.front()}, &command_row::name);
+    const auto it = std::ranges::find(commands, std::string_view{args.front()}, &command_descriptor::name);
     if (it == commands.end())
     {
-        to.err << "masticcourse: no command " << args.front() << "\n\n" << overview();
+        output.err << "masticcourse: no command " << args.front() << "\n\n" << overview();
         return exit_code::usage;
     }
-    return run_command(*it, {args.begin() + 1, args.end()}, to);
+    return run_command(*it, {args.begin() + 1, args.end()}, output);
 }
 
 } // namespace masticcourse
--- a/src/cli/deployment_access.cpp
+++ b/src/cli/deployment_access.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-constexpr int first_failure_status = 300;
+constexpr int first_non_success_status = 300;
 
 std::string first_line(const std::string& text)
 {
@@ -21,18 +21,18 @@
     return line;
 }
 
-std::optional<deployment_access> access_of_settings(const std::string& path, console& to)
+std::optional<deployment_access> access_from_settings(const std::string& path, console& output)
 {
-    const auto settings = load_settings(path, to);
+    const auto settings = load_settings(path, output);
     if (!settings)
     {
         return std::nullopt;
     }
     deployment_access access{.token = settings->operator_token};
-    const auto to_access = [](const entry_settings& it) {
-        return process_access{it.name.value, it.http_address};
+    const auto to_endpoint = [](const entry_settings& it) {
+        return process_endpoint{it.name.value, it.http_address};
     };
-    std::ranges::transform(settings->entries, std::back_inserter(access.entries), to_access);
+    std::ranges::transform(settings->entries, std::back_inserter(access.entries), to_endpoint);
     return access;
 }
 
@@ -47,29 +47,29 @@
                           "file whose first line is the operators' token, in place of the settings'");
 }
 
-std::optional<deployment_access> read_access(const po::variables_map& options, console& to)
+std::optional<deployment_access> read_access(const po::variables_map& options, console& output)
 {
     std::optional<deployment_access> access = deployment_access{};
     if (options.count("settings") != 0)
     {
-        access = access_of_settings(text_of(options, "settings"), to);
+        access = access_from_settings(option_text(options, "settings"), output);
     }
     else if (options.count("entry") == 0)
     {
-        to.err << "either --settings or --entry is needed\n";
+        output.err << "either --settings or --entry is needed\n";
         return std::nullopt;
     }
     if (access && options.count("entry") != 0)
     {
-        const auto address = text_of(options, "entry");
+        const auto address = option_text(options, "entry");
         access->entries = {{address, address}};
     }
     if (access && options.count("token-file") != 0)
     {
-        const auto content = read_file(text_of(options, "token-file"));
+        const auto content = read_file(option_text(options, "token-file"));
         if (!content)
         {
-            to.err << text_of(options, "token-file") << ": can't be read\n";
+            output.err << option_text(options, "token-file") << ": can't be read\n";
             return std::nullopt;
         }
         access->token = first_line(*content);
@@ -77,14 +77,14 @@
     return access;
 }
 
-std::optional<deployment_settings> load_settings(const std::string& path, console& to)
+std::optional<deployment_settings> load_settings(const std::string& path, console& output)
 {
     auto result = read_settings(path);
     if (const auto* const faults = std::get_if<std::vector<settings_diagnostic>>(&result))
     {
         for (const auto& it : *faults)
         {
-            to.err << to_string(it) << "\n";
+            output.err << to_string(it) << "\n";
         }
         return std::nullopt;
     }
@@ -111,8 +111,10 @@
 http_client_request make_request(const std::string& address, std::string method, std::string target,
                                  const std::string& token)
 {
-    http_client_request request{
-        .address = address, .method = std::move(method), .target = std::move(target), .timeout = answer_wait};
+    http_client_request request{.address = address,
+                                .method = std::move(method),
+                                .target = std::move(target),
+                                .timeout = request_timeout};
     if (!token.empty())
     {
         request.headers.push_back({"Authorization", "Bearer " + token});
@@ -125,28 +127,28 @@
     std::vector<http_client_reply> replies(requests.size());
     boost::asio::io_context context;
     http_client client{context};
-    std::size_t waiting = requests.size();
+    std::size_t pending = requests.size();
     for (std::size_t n = 0; n < requests.size(); ++n)
     {
-        const auto take = [&, n](http_client_reply reply)
+        const auto on_reply = [&, n](http_client_reply reply)
         {
             replies[n] = std::move(reply);
             // Idle connections would keep the context busy.
-            if (--waiting == 0)
+            if (--pending == 0)
             {
                 context.stop();
             }
         };
-        client.send(std::move(requests[n]), take);
+        client.send(std::move(requests[n]), on_reply);
     }
-    if (waiting != 0)
+    if (pending != 0)
     {
         context.run();
     }
     return replies;
 }
 
-http_client_reply send_to_any(const deployment_access& access, http_client_request request)
+http_client_reply send_with_failover(const deployment_access& access, http_client_request request)
 {
     http_client_reply reply{.failure = http_failure::connect};
     for (const auto& it : access.entries)
@@ -161,16 +163,16 @@
     return reply;
 }
 
-exit_code judge_reply(const http_client_reply& reply, const std::string& name, console& to)
+exit_code check_reply(const http_client_reply& reply, const std::string& name, console& output)
 {
     if (reply.failure != http_failure::none)
     {
-        to.err << name << ": " << to_string(reply.failure) << "\n";
+        output.err << name << ": " << to_string(reply.failure) << "\n";
         return exit_code::unreachable;
     }
-    if (reply.status >= first_failure_status)
+    if (reply.status >= first_non_success_status)
     {
-        to.err << name << ": HTTP " << reply.status << " " << reply.body << "\n";
+        output.err << name << ": HTTP " << reply.status << " " << reply.body << "\n";
         return exit_code::remote_failure;
     }
     return exit_code::ok;
--- a/src/cli/deployment_access.hpp
+++ b/src/cli/deployment_access.hpp
@@ -16,10 +16,10 @@
 {
 
 /// How long a command waits for one answer.
-inline constexpr std::chrono::milliseconds answer_wait{10'000};
+inline constexpr std::chrono::milliseconds request_timeout{10'000};
 
 /// A process and how to reach it.
-struct process_access
+struct process_endpoint
 {
     std::string name;
     std::string address;
@@ -28,18 +28,18 @@
 /// The entries of a deployment and the operators' token.
 struct deployment_access
 {
-    std::vector<process_access> entries;
+    std::vector<process_endpoint> entries;
     std::string token;
 };
 
 /// Adds `--settings`, `--entry` and `--token-file`.
 void add_access_options(po::options_description& options);
 
-/// @return whom to ask, or nothing after the fault was written to @a to
-[[nodiscard]] std::optional<deployment_access> read_access(const po::variables_map& options, console& to);
+/// @return whom to ask, or nothing after the fault was written to @a output
+[[nodiscard]] std::optional<deployment_access> read_access(const po::variables_map& options, console& output);
 
-/// @return the settings, or nothing after all faults were written to @a to
-[[nodiscard]] std::optional<deployment_settings> load_settings(const std::string& path, console& to);
+/// @return the settings, or nothing after all faults were written to @a output
+[[nodiscard]] std::optional<deployment_settings> load_settings(const std::string& path, console& output);
 
 /// @return the whole content of a file, or nothing
 [[nodiscard]] std::optional<std::string> read_file(const std::string& path);
@@ -57,9 +57,10 @@
 
 /// Sends a request, and goes on to the next entry as long as none takes the connection.
 /// @param request its address is set here
-[[nodiscard]] http_client_reply send_to_any(const deployment_access& access, http_client_request request);
+[[nodiscard]] http_client_reply send_with_failover(const deployment_access& access,
+                                                   http_client_request request);
 
-/// @return the exit code that goes with an answer; what is wrong is written to @a to
-[[nodiscard]] exit_code judge_reply(const http_client_reply& reply, const std::string& name, console& to);
+/// @return the exit code that goes with an answer; what is wrong is written to @a output
+[[nodiscard]] exit_code check_reply(const http_client_reply& reply, const std::string& name, console& output);
 
 } // namespace masticcourse::detail
--- a/src/cli/events_command.cpp
+++ b/src/cli/events_command.cpp
@@ -45,22 +45,22 @@
     return render_table(lines);
 }
 
-exit_code run(const po::variables_map& options, console& to)
+exit_code run(const po::variables_map& options, console& output)
 {
     if (options.count("markdown") != 0)
     {
-        to.out << event_reference();
+        output.out << event_reference();
     }
     else
     {
-        to.out << (options.count("json") != 0 ? json_text() : table_text());
+        output.out << (options.count("json") != 0 ? json_text() : table_text());
     }
     return exit_code::ok;
 }
 
 } // namespace
 
-const command_row events_command{"events", "", "Lists the numbered events of logs and time line.",
-                                 add_options, run};
+const command_descriptor events_command{"events", "", "Lists the numbered events of logs and time line.",
+                                        add_options, run};
 
 } // namespace masticcourse::detail
--- a/src/cli/load_report.cpp
+++ b/src/cli/load_report.cpp
@@ -21,15 +21,15 @@
 constexpr std::array quantiles{0.50, 0.95, 0.99};
 
 /// The latencies of one class, or of all.
-struct latency_row
+struct latency_group
 {
     std::string name;
     std::vector<std::chrono::milliseconds> values;
 };
 
-std::vector<latency_row> latency_rows(const load_report& report)
+std::vector<latency_group> latency_groups(const load_report& report)
 {
-    std::vector<latency_row> rows{{"all", {}}};
+    std::vector<latency_group> rows{{"all", {}}};
     for (const auto name : service_class_names())
     {
         rows.push_back({std::string{name}, {}});
@@ -43,28 +43,28 @@
 }
 
 /// One count and its name in both forms of the report.
-struct count_row
+struct named_count
 {
     std::string_view name;
     std::uint64_t load_counts::*member;
 };
 
-constexpr std::array count_rows{
-    count_row{"programs_started", &load_counts::programs_started},
-    count_row{"programs_finished", &load_counts::programs_finished},
-    count_row{"programs_failed", &load_counts::programs_failed},
-    count_row{"calls_finished", &load_counts::calls_finished},
-    count_row{"calls_failed", &load_counts::calls_failed},
-    count_row{"refusals", &load_counts::refusals},
-    count_row{"repeats", &load_counts::repeats},
-    count_row{"outcomes_unknown", &load_counts::outcomes_unknown},
-    count_row{"prompt_tokens", &load_counts::prompt_tokens},
-    count_row{"completion_tokens", &load_counts::completion_tokens},
-    count_row{"seen_tokens", &load_counts::seen_tokens},
-    count_row{"wasted_tokens", &load_counts::wasted_tokens},
+constexpr std::array named_counts{
+    named_count{"programs_started", &load_counts::programs_started},
+    named_count{"programs_finished", &load_counts::programs_finished},
+    named_count{"programs_failed", &load_counts::programs_failed},
+    named_count{"calls_finished", &load_counts::calls_finished},
+    named_count{"calls_failed", &load_counts::calls_failed},
+    named_count{"refusals", &load_counts::refusals},
+    named_count{"repeats", &load_counts::repeats},
+    named_count{"outcomes_unknown", &load_counts::outcomes_unknown},
+    named_count{"prompt_tokens", &load_counts::prompt_tokens},
+    named_count{"completion_tokens", &load_counts::completion_tokens},
+    named_count{"seen_tokens", &load_counts::seen_tokens},
+    named_count{"wasted_tokens", &load_counts::wasted_tokens},
 };
 
-std::string quantile_text(const latency_row& row, double q)
+std::string quantile_text(const latency_group& row, double q)
 {
     const auto value = quantile_of(row.values, q);
     return value ? std::to_string(value->count()) : "-";
@@ -72,9 +72,9 @@
 
 std::string percent_text(double share)
 {
-    constexpr double hundred = 100;
+    constexpr double percent = 100;
     std::ostringstream text;
-    text << std::fixed << std::setprecision(1) << share * hundred << "%";
+    text << std::fixed << std::setprecision(1) << share * percent << "%";
     return text.str();
 }
 
@@ -101,7 +101,7 @@
 std::string report_table(const load_report& report)
 {
     std::vector<table_line> latencies{{"PROGRAM LATENCY (MS)", "COUNT", "P50", "P95", "P99"}};
-    for (const auto& it : latency_rows(report))
+    for (const auto& it : latency_groups(report))
     {
         table_line line{it.name, std::to_string(it.values.size())};
         for (const auto q : quantiles)
@@ -111,7 +111,7 @@
         latencies.push_back(std::move(line));
     }
     std::vector<table_line> counts{{"COUNT OF", ""}};
-    for (const auto& it : count_rows)
+    for (const auto& it : named_counts)
     {
         counts.push_back({std::string{it.name}, std::to_string(report.counts.*it.member)});
     }
@@ -122,12 +122,12 @@
 std::string report_json(const load_report& report)
 {
     nlohmann::json document;
-    for (const auto& it : count_rows)
+    for (const auto& it : named_counts)
     {
         document["counts"][std::string{it.name}] = report.counts.*it.member;
     }
     document["wasted_share"] = wasted_share(report.counts);
-    for (const auto& it : latency_rows(report))
+    for (const auto& it : latency_groups(report))
     {
         nlohmann::json row{{"count", it.values.size()}};
         constexpr std::array<const char*, 3> names{"p50", "p95", "p99"};
--- a/src/cli/load_run.cpp
+++ b/src/cli/load_run.cpp
@@ -27,27 +27,27 @@
 using run_clock = std::chrono::steady_clock;
 
 /// How long a caller goes on asking for one answer.
-constexpr std::chrono::seconds patience{60};
+constexpr std::chrono::seconds retry_time_limit{60};
 /// How long an entry that takes no connection is passed over, as a balancer would.
-constexpr std::chrono::seconds passed_over{1};
+constexpr std::chrono::seconds connect_failure_cooldown{1};
 constexpr std::chrono::milliseconds default_backoff{250};
-constexpr std::chrono::milliseconds longest_backoff{5'000};
-constexpr std::chrono::milliseconds call_wait{180'000};
-constexpr int first_failure_status = 300;
+constexpr std::chrono::milliseconds max_backoff{5'000};
+constexpr std::chrono::milliseconds call_timeout{180'000};
+constexpr int first_non_success_status = 300;
 
 asio::awaitable<http_client_reply> send(http_client& client, http_client_request request)
 {
-    const auto start = [&client](auto handler, const http_client_request& what)
+    const auto start = [&client](auto handler, const http_client_request& to_send)
     {
         // The client's callback type is copyable, an asynchronous handler is not.
         auto shared = std::make_shared<decltype(handler)>(std::move(handler));
-        client.send(what, [shared](http_client_reply reply) { (*shared)(std::move(reply)); });
+        client.send(to_send, [shared](http_client_reply reply) { (*shared)(std::move(reply)); });
     };
     return asio::async_initiate<const asio::use_awaitable_t<>&, void(http_client_reply)>(
         start, asio::use_awaitable, std::move(request));
 }
 
-asio::awaitable<void> pause_for(std::chrono::milliseconds pause)
+asio::awaitable<void> sleep_for(std::chrono::milliseconds pause)
 {
     asio::steady_timer timer{co_await asio::this_coro::executor, pause};
     co_await timer.async_wait(asio::use_awaitable);
@@ -55,7 +55,7 @@
 
 bool is_success(const http_client_reply& reply)
 {
-    return reply.failure == http_failure::none && reply.status < first_failure_status;
+    return reply.failure == http_failure::none && reply.status < first_non_success_status;
 }
 
 /// A refusal that says when to come back.
@@ -67,14 +67,14 @@
         return std::nullopt;
     }
     const std::chrono::milliseconds wait{document.at("retry_after_ms").get<std::int64_t>()};
-    return std::clamp(wait, default_backoff, longest_backoff);
+    return std::clamp(wait, default_backoff, max_backoff);
 }
 
 token_count usage_member(const json& outcome, const char* name)
 {
     const auto usage = outcome.is_object() && outcome.contains("usage") ? outcome.at("usage") : json{};
-    const bool has = usage.is_object() && usage.contains(name) && usage.at(name).is_number_integer();
-    return has ? usage.at(name).get<token_count>() : 0;
+    const bool valid = usage.is_object() && usage.contains(name) && usage.at(name).is_number_integer();
+    return valid ? usage.at(name).get<token_count>() : 0;
 }
 
 /// What a caller knows of one of its programs.
@@ -84,30 +84,31 @@
     const workspace_settings* workspace = nullptr;
     std::uint32_t turns_seen = 0;
     /// Tokens that the engine has had before it by the last model call.
-    token_count known_tokens = 0;
+    token_count processed_tokens = 0;
 };
 
 /// An entry, and until when it is passed over.
-struct entry_row
+struct entry_endpoint
 {
     std::string address;
-    run_clock::time_point down_until{};
+    run_clock::time_point unavailable_until{};
 };
 
 /// The run: its counts and the callers that go on side by side, all on one thread.
 class load_runner
 {
   public:
-    load_runner(const deployment_settings& settings, console& to) : m_settings(settings), m_console(to)
+    load_runner(const deployment_settings& settings, console& output)
+        : m_settings(settings), m_console(output)
     {
         std::ranges::transform(settings.entries, std::back_inserter(m_entries),
                                [](const entry_settings& it)
-                               { return entry_row{.address = it.http_address}; });
+                               { return entry_endpoint{.address = it.http_address}; });
     }
 
     load_report run(const std::vector<planned_program>& programs)
     {
-        m_left = programs.size();
+        m_remaining = programs.size();
         m_planned = programs.size();
         for (const auto& it : programs)
         {
@@ -117,7 +118,7 @@
         {
             asio::co_spawn(m_context, show_progress(), asio::detached);
         }
-        if (m_left != 0)
+        if (m_remaining != 0)
         {
             m_context.run();
         }
@@ -127,53 +128,54 @@
   private:
     asio::awaitable<void> run_program(const planned_program& program)
     {
-        co_await pause_for(program.start);
+        co_await sleep_for(program.start);
         ++m_report.counts.programs_started;
         const auto& workspace = m_settings.workspaces[program.workspace];
         const auto start = run_clock::now();
-        std::chrono::milliseconds paused{};
-        const bool good = co_await run_turns(program.turns, workspace, program.budget, {}, paused);
-        const auto whole = std::chrono::duration_cast<std::chrono::milliseconds>(run_clock::now() - start);
-        if (good)
+        std::chrono::milliseconds total_pause{};
+        const bool succeeded = co_await run_turns(program.turns, workspace, program.budget, {}, total_pause);
+        const auto run_time = std::chrono::duration_cast<std::chrono::milliseconds>(run_clock::now() - start);
+        if (succeeded)
         {
             ++m_report.counts.programs_finished;
-            m_report.samples.push_back({workspace.priority, whole - paused});
+            m_report.samples.push_back({workspace.priority, run_time - total_pause});
         }
         else
         {
             ++m_report.counts.programs_failed;
         }
-        if (--m_left == 0)
+        if (--m_remaining == 0)
         {
             m_context.stop();
         }
     }
 
     /// Creates a program, makes its calls and ends it.
-    /// @param paused takes the planned pauses
+    /// @param total_pause takes the planned pauses
     asio::awaitable<bool> run_turns(const std::vector<planned_turn>& turns,
                                     const workspace_settings& workspace, token_count budget,
-                                    std::string parent, std::chrono::milliseconds& paused)
+                                    std::string parent, std::chrono::milliseconds& total_pause)
     {
         auto session = co_await create_program(workspace, budget, std::move(parent));
         if (!session)
         {
             co_return false;
         }
-        bool good = true;
-        for (auto it = turns.begin(); good && it != turns.end(); ++it)
+        bool succeeded = true;
+        for (auto it = turns.begin(); succeeded && it != turns.end(); ++it)
         {
-            co_await pause_for(it->pause);
-            paused += it->pause;
-            good = it->sub_agent.empty() ? co_await make_call(*session, *it)
-                                         : co_await run_turns(it->sub_agent, workspace, sub_budget(budget),
-                                                              session->id, paused);
+            co_await sleep_for(it->pause);
+            total_pause += it->pause;
+            succeeded = it->sub_agent.empty()
+                            ? co_await make_call(*session, *it)
+                            : co_await run_turns(it->sub_agent, workspace, sub_agent_budget(budget),
+                                                 session->id, total_pause);
         }
         co_await end_program(*session);
-        co_return good;
+        co_return succeeded;
     }
 
-    static token_count sub_budget(token_count budget)
+    static token_count sub_agent_budget(token_count budget)
     {
         constexpr token_count share = 4;
         return std::max<token_count>(budget / share, 1);
@@ -191,7 +193,7 @@
         // The same key on a repeat: a lost answer must not leave a program behind.
         request.headers.push_back({"Idempotency-Key", "load-" + std::to_string(m_next_key++)});
         request.body = body.dump();
-        const auto reply = co_await send_until_settled(std::move(request));
+        const auto reply = co_await send_with_retries(std::move(request));
         const auto document = parse_reply(reply.body);
         if (!is_success(reply) || !document.is_object() || !document.contains("program"))
         {
@@ -211,8 +213,8 @@
             make_request({}, "POST", "/v1/programs/" + session.id + "/calls", session.workspace->token);
         request.headers.push_back({"Idempotency-Key", "turn-" + std::to_string(session.turns_seen + 1)});
         request.body = body.dump();
-        request.timeout = call_wait;
-        const auto reply = co_await send_until_settled(std::move(request));
+        request.timeout = call_timeout;
+        const auto reply = co_await send_with_retries(std::move(request));
         const auto outcome = parse_reply(reply.body);
         if (!is_success(reply) || outcome.contains("problem"))
         {
@@ -234,48 +236,48 @@
         }
         const auto prompt = usage_member(outcome, "prompt");
         const auto completion = usage_member(outcome, "completion");
-        const auto seen = std::min(session.known_tokens, prompt);
+        const auto seen = std::min(session.processed_tokens, prompt);
         const auto wasted = std::max<token_count>(seen - usage_member(outcome, "cached"), 0);
         m_report.counts.prompt_tokens += static_cast<std::uint64_t>(prompt);
         m_report.counts.completion_tokens += static_cast<std::uint64_t>(completion);
         m_report.counts.seen_tokens += static_cast<std::uint64_t>(seen);
         m_report.counts.wasted_tokens += static_cast<std::uint64_t>(wasted);
-        session.known_tokens = prompt + completion;
+        session.processed_tokens = prompt + completion;
     }
 
     asio::awaitable<void> end_program(const program_session& session)
     {
-        co_await send_until_settled(
+        co_await send_with_retries(
             make_request({}, "DELETE", "/v1/programs/" + session.id, session.workspace->token));
     }
 
     /// Sends a request until it is answered for good: a refusal is waited out, a lost answer asked for again
     /// under the same key, by another entry.
-    asio::awaitable<http_client_reply> send_until_settled(http_client_request request)
+    asio::awaitable<http_client_reply> send_with_retries(http_client_request request)
     {
-        const auto give_up = run_clock::now() + patience;
+        const auto deadline = run_clock::now() + retry_time_limit;
         while (true)
         {
             auto& entry = next_entry();
             request.address = entry.address;
             auto reply = co_await send(m_client, request);
-            const auto wait = is_success(reply) ? std::nullopt : wait_before_repeat(entry, reply);
-            if (!wait || run_clock::now() + *wait >= give_up)
+            const auto wait = is_success(reply) ? std::nullopt : retry_delay(entry, reply);
+            if (!wait || run_clock::now() + *wait >= deadline)
             {
                 co_return reply;
             }
-            co_await pause_for(*wait);
+            co_await sleep_for(*wait);
         }
     }
 
     /// @return how long to wait before the same request again; nothing if its answer is final
-    std::optional<std::chrono::milliseconds> wait_before_repeat(entry_row& entry,
-                                                                const http_client_reply& reply)
+    std::optional<std::chrono::milliseconds> retry_delay(entry_endpoint& entry,
+                                                         const http_client_reply& reply)
     {
         if (reply.failure == http_failure::connect)
         {
-            entry.down_until = run_clock::now() + passed_over;
-            return any_entry_up() ? std::chrono::milliseconds{0} : default_backoff;
+            entry.unavailable_until = run_clock::now() + connect_failure_cooldown;
+            return any_entry_available() ? std::chrono::milliseconds{0} : default_backoff;
         }
         if (reply.failure != http_failure::none)
         {
@@ -287,20 +289,21 @@
         return wait;
     }
 
-    [[nodiscard]] bool any_entry_up() const
+    [[nodiscard]] bool any_entry_available() const
     {
         const auto now = run_clock::now();
-        return std::ranges::any_of(m_entries, [&](const entry_row& it) { return it.down_until <= now; });
+        return std::ranges::any_of(m_entries,
+                                   [&](const entry_endpoint& it) { return it.unavailable_until <= now; });
     }
 
     /// @return the next entry in turn that takes connections; the next one at all if none does
-    entry_row& next_entry()
+    entry_endpoint& next_entry()
     {
         const auto now = run_clock::now();
         for (std::size_t n = 0; n < m_entries.size(); ++n)
         {
             auto& entry = m_entries[m_next_entry++ % m_entries.size()];
-            if (entry.down_until <= now)
+            if (entry.unavailable_until <= now)
             {
                 return entry;
             }
@@ -313,7 +316,7 @@
         const auto start = run_clock::now();
         while (true)
         {
-            co_await pause_for(std::chrono::seconds{1});
+            co_await sleep_for(std::chrono::seconds{1});
             const auto elapsed = std::chrono::duration_cast<std::chrono::seconds>(run_clock::now() - start);
             const auto& counts = m_report.counts;
             const auto ended = counts.programs_finished + counts.programs_failed;
@@ -329,8 +332,8 @@
     asio::io_context m_context{1};
     http_client m_client{m_context};
     load_report m_report;
-    std::vector<entry_row> m_entries;
-    std::size_t m_left = 0;
+    std::vector<entry_endpoint> m_entries;
+    std::size_t m_remaining = 0;
     std::size_t m_planned = 0;
     std::size_t m_next_entry = 0;
     std::uint64_t m_next_key = 1;
@@ -339,9 +342,9 @@
 } // namespace
 
 load_report run_load(const deployment_settings& settings, const std::vector<planned_program>& programs,
-                     console& to)
+                     console& output)
 {
-    return load_runner{settings, to}.run(programs);
+    return load_runner{settings, output}.run(programs);
 }
 
 } // namespace masticcourse::detail
--- a/src/cli/load_run.hpp
+++ b/src/cli/load_run.hpp
@@ -13,8 +13,8 @@
 {
 
 /// Starts each program at its time, whatever has become of those before, and waits for all to end.
-/// @param to where progress is shown, if it is a terminal
+/// @param output where progress is shown, if it is a terminal
 [[nodiscard]] load_report run_load(const deployment_settings& settings,
-                                   const std::vector<planned_program>& programs, console& to);
+                                   const std::vector<planned_program>& programs, console& output);
 
 } // namespace masticcourse::detail
--- a/src/cli/patch_command.cpp
+++ b/src/cli/patch_command.cpp
@@ -27,52 +27,52 @@
     return tag;
 }
 
-void write_document(const http_client_reply& reply, bool as_json, console& to)
+void write_document(const http_client_reply& reply, bool as_json, console& output)
 {
     if (!as_json)
     {
-        to.out << "version " << version_text(reply) << "\n";
+        output.out << "version " << version_text(reply) << "\n";
     }
-    to.out << reply.body << "\n";
+    output.out << reply.body << "\n";
 }
 
-exit_code show_config(const deployment_access& access, bool as_json, console& to)
+exit_code show_config(const deployment_access& access, bool as_json, console& output)
 {
-    const auto reply = send_to_any(access, make_request({}, "GET", "/v1/config", access.token));
-    const auto code = judge_reply(reply, "GET /v1/config", to);
+    const auto reply = send_with_failover(access, make_request({}, "GET", "/v1/config", access.token));
+    const auto code = check_reply(reply, "GET /v1/config", output);
     if (code == exit_code::ok)
     {
-        write_document(reply, as_json, to);
+        write_document(reply, as_json, output);
     }
     return code;
 }
 
 exit_code send_patch(const deployment_access& access, const std::string& patch, std::uint64_t expected,
-                     bool as_json, console& to)
+                     bool as_json, console& output)
 {
     auto request = make_request({}, "PATCH", "/v1/config", access.token);
     request.headers.push_back({"If-Match", "\"" + std::to_string(expected) + "\""});
     request.headers.push_back({"Content-Type", "application/merge-patch+json"});
     request.body = patch;
-    const auto reply = send_to_any(access, std::move(request));
-    const auto code = judge_reply(reply, "PATCH /v1/config", to);
+    const auto reply = send_with_failover(access, std::move(request));
+    const auto code = check_reply(reply, "PATCH /v1/config", output);
     if (code == exit_code::ok)
     {
-        write_document(reply, as_json, to);
+        write_document(reply, as_json, output);
     }
     return code;
 }
 
-exit_code run(const po::variables_map& options, console& to)
+exit_code run(const po::variables_map& options, console& output)
 {
-    const auto path = argument_of(options);
+    const auto path = positional_argument(options);
     const bool has_version = options.count("expect") != 0;
     if (path.empty() == has_version)
     {
-        to.err << "patch: --expect VERSION and FILE go together\n";
+        output.err << "patch: --expect VERSION and FILE go together\n";
         return exit_code::usage;
     }
-    const auto access = read_access(options, to);
+    const auto access = read_access(options, output);
     if (!access)
     {
         return exit_code::usage;
@@ -80,20 +80,20 @@
     const bool as_json = options.count("json") != 0;
     if (path.empty())
     {
-        return show_config(*access, as_json, to);
+        return show_config(*access, as_json, output);
     }
     const auto patch = read_file(path);
     if (!patch)
     {
-        to.err << path << ": can't be read\n";
+        output.err << path << ": can't be read\n";
         return exit_code::usage;
     }
-    return send_patch(*access, *patch, options["expect"].as<std::uint64_t>(), as_json, to);
+    return send_patch(*access, *patch, options["expect"].as<std::uint64_t>(), as_json, output);
 }
 
 } // namespace
 
-const command_row patch_command{"patch", "[FILE]", "Patches the configuration, or shows the one in force.",
-                                add_options, run};
+const command_descriptor patch_command{
+    "patch", "[FILE]", "Patches the configuration, or shows the one in force.", add_options, run};
 
 } // namespace masticcourse::detail
--- a/src/cli/programs_command.cpp
+++ b/src/cli/programs_command.cpp
@@ -56,9 +56,9 @@
     }
 }
 
-exit_code run(const po::variables_map& options, console& to)
+exit_code run(const po::variables_map& options, console& output)
 {
-    const auto access = read_access(options, to);
+    const auto access = read_access(options, output);
     if (!access)
     {
         return exit_code::usage;
@@ -73,16 +73,16 @@
     auto code = exit_code::ok;
     for (std::size_t n = 0; n < replies.size(); ++n)
     {
-        code = std::max(code, judge_reply(replies[n], access->entries[n].name, to));
+        code = std::max(code, check_reply(replies[n], access->entries[n].name, output));
         append_programs(rows, replies[n], access->entries[n].name, options.count("all") != 0);
     }
-    to.out << (options.count("json") != 0 ? rows.dump() + "\n" : table_text(rows));
+    output.out << (options.count("json") != 0 ? rows.dump() + "\n" : table_text(rows));
     return code;
 }
 
 } // namespace
 
-const command_row programs_command{"programs", "", "Lists the programs under way and their homes.",
-                                   add_options, run};
+const command_descriptor programs_command{"programs", "", "Lists the programs under way and their homes.",
+                                          add_options, run};
 
 } // namespace masticcourse::detail
--- a/src/cli/status_command.cpp
+++ b/src/cli/status_command.cpp
@@ -20,14 +20,14 @@
 }
 
 /// What one entry answered to both questions.
-struct entry_answers
+struct entry_status
 {
     std::string name;
     http_client_reply ready;
     http_client_reply status;
 };
 
-std::vector<entry_answers> ask_entries(const deployment_access& access)
+std::vector<entry_status> query_entries(const deployment_access& access)
 {
     std::vector<http_client_request> requests;
     for (const auto& it : access.entries)
@@ -36,12 +36,13 @@
         requests.push_back(make_request(it.address, "GET", "/v1/status", access.token));
     }
     auto replies = send_all(std::move(requests));
-    std::vector<entry_answers> answers;
+    std::vector<entry_status> statuses;
     for (std::size_t n = 0; n < access.entries.size(); ++n)
     {
-        answers.push_back({access.entries[n].name, std::move(replies[2 * n]), std::move(replies[2 * n + 1])});
+        statuses.push_back(
+            {access.entries[n].name, std::move(replies[2 * n]), std::move(replies[2 * n + 1])});
     }
-    return answers;
+    return statuses;
 }
 
 std::string ready_text(const http_client_reply& reply)
@@ -66,13 +67,13 @@
     return std::to_string(live) + "/" + std::to_string(peers.size());
 }
 
-std::string table_text(const std::vector<entry_answers>& answers)
+std::string table_text(const std::vector<entry_status>& statuses)
 {
     constexpr std::array<std::string_view, 6> members{
         "programs", "calls_in_progress", "shards_owned", "calls_refused", "config", "store_reachable"};
     std::vector<table_line> lines{
         {"ENTRY", "READY", "PROGRAMS", "CALLS", "SHARDS", "REFUSED", "CONFIG", "STORE", "PEERS"}};
-    for (const auto& it : answers)
+    for (const auto& it : statuses)
     {
         const auto status = parse_reply(it.status.body);
         table_line line{it.name, ready_text(it.ready)};
@@ -86,10 +87,10 @@
     return render_table(lines);
 }
 
-std::string json_text(const std::vector<entry_answers>& answers)
+std::string json_text(const std::vector<entry_status>& statuses)
 {
     auto rows = nlohmann::json::array();
-    for (const auto& it : answers)
+    for (const auto& it : statuses)
     {
         rows.push_back(
             {{"entry", it.name}, {"ready", ready_text(it.ready)}, {"status", parse_reply(it.status.body)}});
@@ -97,25 +98,25 @@
     return rows.dump() + "\n";
 }
 
-exit_code run(const po::variables_map& options, console& to)
+exit_code run(const po::variables_map& options, console& output)
 {
-    const auto access = read_access(options, to);
+    const auto access = read_access(options, output);
     if (!access)
     {
         return exit_code::usage;
     }
-    const auto answers = ask_entries(*access);
-    to.out << (options.count("json") != 0 ? json_text(answers) : table_text(answers));
+    const auto statuses = query_entries(*access);
+    output.out << (options.count("json") != 0 ? json_text(statuses) : table_text(statuses));
     auto code = exit_code::ok;
-    for (const auto& it : answers)
+    for (const auto& it : statuses)
     {
-        code = std::max(code, judge_reply(it.status, it.name, to));
+        code = std::max(code, check_reply(it.status, it.name, output));
     }
     return code;
 }
 
 } // namespace
 
-const command_row status_command{"status", "", "Shows the state of each entry.", add_options, run};
+const command_descriptor status_command{"status", "", "Shows the state of each entry.", add_options, run};
 
 } // namespace masticcourse::detail
--- a/src/cli/text_table.cpp
+++ b/src/cli/text_table.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t column_gap = 2;
 
 /// Characters as a terminal shows them: continuation bytes of UTF-8 take no place.
-std::size_t width_of(const std::string& text)
+std::size_t display_width(const std::string& text)
 {
     constexpr unsigned char mask = 0xc0;
     constexpr unsigned char continuation = 0x80;
@@ -20,7 +20,7 @@
         text, [](char c) { return (static_cast<unsigned char>(c) & mask) != continuation; }));
 }
 
-std::vector<std::size_t> widths_of(const std::vector<table_line>& lines)
+std::vector<std::size_t> column_widths(const std::vector<table_line>& lines)
 {
     std::vector<std::size_t> widths;
     for (const auto& line : lines)
@@ -28,7 +28,7 @@
         widths.resize(std::max(widths.size(), line.size()));
         for (std::size_t n = 0; n < line.size(); ++n)
         {
-            widths[n] = std::max(widths[n], width_of(line[n]));
+            widths[n] = std::max(widths[n], display_width(line[n]));
         }
     }
     return widths;
@@ -38,7 +38,7 @@
 
 std::string render_table(const std::vector<table_line>& lines)
 {
-    const auto widths = widths_of(lines);
+    const auto widths = column_widths(lines);
     std::string text;
     for (const auto& line : lines)
     {
@@ -46,7 +46,7 @@
         {
             text += line[n];
             const bool last = n + 1 == line.size();
-            text.append(last ? 0 : widths[n] - width_of(line[n]) + column_gap, ' ');
+            text.append(last ? 0 : widths[n] - display_width(line[n]) + column_gap, ' ');
         }
         text += '\n';
     }
--- a/src/cli/timeline_command.cpp
+++ b/src/cli/timeline_command.cpp
@@ -22,9 +22,9 @@
     options.add_options()("json", "show the Chrome trace JSON in place of the listing");
 }
 
-std::vector<process_access> all_processes(const deployment_settings& settings)
+std::vector<process_endpoint> all_processes(const deployment_settings& settings)
 {
-    std::vector<process_access> processes;
+    std::vector<process_endpoint> processes;
     processes.reserve(settings.entries.size() + settings.targets.size());
     for (const auto& it : settings.entries)
     {
@@ -44,7 +44,7 @@
     exit_code code = exit_code::ok;
 };
 
-fetched_timelines fetch_timelines(const deployment_settings& settings, console& to)
+fetched_timelines fetch_timelines(const deployment_settings& settings, console& output)
 {
     const auto processes = all_processes(settings);
     std::vector<http_client_request> requests;
@@ -57,7 +57,7 @@
     fetched_timelines fetched;
     for (std::size_t n = 0; n < replies.size(); ++n)
     {
-        const auto code = judge_reply(replies[n], processes[n].name, to);
+        const auto code = check_reply(replies[n], processes[n].name, output);
         fetched.code = std::max(fetched.code, code);
         if (code != exit_code::ok)
         {
@@ -68,7 +68,7 @@
             fetched.exports.push_back(std::move(*content));
             continue;
         }
-        to.err << processes[n].name << ": its time line can't be read\n";
+        output.err << processes[n].name << ": its time line can't be read\n";
         fetched.code = std::max(fetched.code, exit_code::remote_failure);
     }
     return fetched;
@@ -76,43 +76,43 @@
 
 /// Writes both forms beside each other.
 /// @return whether both were written
-bool write_files(const std::string& prefix, const std::vector<timeline_event>& events, console& to)
+bool write_files(const std::string& prefix, const std::vector<timeline_event>& events, console& output)
 {
     const bool written = write_file(prefix + ".json", to_chrome_trace(events)) &&
                          write_file(prefix + ".txt", to_listing(events));
     if (!written)
     {
-        to.err << prefix << ": can't be written\n";
+        output.err << prefix << ": can't be written\n";
     }
     return written;
 }
 
-exit_code run(const po::variables_map& options, console& to)
+exit_code run(const po::variables_map& options, console& output)
 {
-    const auto path = text_of(options, "settings");
-    const auto settings = path.empty() ? std::nullopt : load_settings(path, to);
+    const auto path = option_text(options, "settings");
+    const auto settings = path.empty() ? std::nullopt : load_settings(path, output);
     if (!settings)
     {
-        to.err << (path.empty() ? "timeline: --settings is needed\n" : "");
+        output.err << (path.empty() ? "timeline: --settings is needed\n" : "");
         return exit_code::usage;
     }
-    const auto fetched = fetch_timelines(*settings, to);
+    const auto fetched = fetch_timelines(*settings, output);
     auto events = merge_timelines(fetched.exports);
-    if (const program_id program{text_of(options, "program")}; !program.empty())
+    if (const program_id program{option_text(options, "program")}; !program.empty())
     {
         std::erase_if(events, [&](const timeline_event& it) { return it.program != program; });
     }
-    if (const auto prefix = text_of(options, "out"); !prefix.empty())
+    if (const auto prefix = option_text(options, "out"); !prefix.empty())
     {
-        return write_files(prefix, events, to) ? fetched.code : exit_code::usage;
+        return write_files(prefix, events, output) ? fetched.code : exit_code::usage;
     }
-    to.out << (options.count("json") != 0 ? to_chrome_trace(events) + "\n" : to_listing(events));
+    output.out << (options.count("json") != 0 ? to_chrome_trace(events) + "\n" : to_listing(events));
     return fetched.code;
 }
 
 } // namespace
 
-const command_row timeline_command{"timeline", "", "Merges the time lines of all processes.", add_options,
-                                   run};
+const command_descriptor timeline_command{"timeline", "", "Merges the time lines of all processes.",
+                                          add_options, run};
 
 } // namespace masticcourse::detail
--- a/src/daemon/observer.cpp
+++ b/src/daemon/observer.cpp
@@ -53,7 +53,7 @@
     const auto* const row = find_event(event.id);
     const std::string name = row != nullptr ? std::string{row->name} : "unknown";
     m_metrics.get_counter("masticcourse_events_total", "Events by name.", {{"event", name}}).add();
-    m_timeline.record({.stamp = m_clock.now(),
+    m_timeline.record({.timestamp = m_clock.now(),
                        .id = event.id,
                        .program = event.program,
                        .call = event.call,
--- a/src/daemon/peer_hub.cpp
+++ b/src/daemon/peer_hub.cpp
@@ -35,7 +35,7 @@
     return number;
 }
 
-std::string frame_of(const hlc_stamp& stamp, const peer_message& message)
+std::string frame_of(const hlc_timestamp& stamp, const peer_message& message)
 {
     std::string frame;
     put_number(frame, static_cast<std::uint64_t>(stamp.wall.count()), wall_bytes);
@@ -44,7 +44,7 @@
     return frame;
 }
 
-hlc_stamp stamp_of(std::string_view frame)
+hlc_timestamp stamp_of(std::string_view frame)
 {
     const auto wall = static_cast<std::int64_t>(take_number(frame.substr(0, wall_bytes)));
     const auto counter = static_cast<std::uint32_t>(take_number(frame.substr(wall_bytes, counter_bytes)));
--- a/src/telemetry/event.cpp
+++ b/src/telemetry/event.cpp
@@ -9,13 +9,13 @@
 namespace
 {
 
-constexpr bool numbers_ascend = std::ranges::adjacent_find(event_catalogue, std::ranges::greater_equal{},
-                                                           &event_row::id) == event_catalogue.end();
-static_assert(numbers_ascend, "the catalogue is in order and no number stands twice");
+constexpr bool ids_ascending = std::ranges::adjacent_find(event_catalogue, std::ranges::greater_equal{},
+                                                          &event_definition::id) == event_catalogue.end();
+static_assert(ids_ascending, "the catalogue is in order and no number stands twice");
 
 struct event_range
 {
-    std::uint16_t thousand = 0;
+    std::uint16_t thousands_digit = 0;
     std::string_view title;
 };
 
@@ -39,14 +39,14 @@
 numbers stand in the time line.
 )";
 
-std::string range_text(const event_range& range)
+std::string range_table(const event_range& range)
 {
-    std::string text = "\n## " + std::to_string(range.thousand) + "xxx: " + std::string{range.title};
+    std::string text = "\n## " + std::to_string(range.thousands_digit) + "xxx: " + std::string{range.title};
     text += "\n\n| number | name | severity | meaning | what to do |\n| --- | --- | --- | --- | --- |\n";
     for (const auto& it : event_catalogue)
     {
         const auto number = static_cast<std::uint16_t>(it.id);
-        if (number / range_size != range.thousand)
+        if (number / range_size != range.thousands_digit)
         {
             continue;
         }
@@ -59,9 +59,9 @@
 
 } // namespace
 
-const event_row* find_event(event_id id)
+const event_definition* find_event(event_id id)
 {
-    const auto* const it = std::ranges::lower_bound(event_catalogue, id, {}, &event_row::id);
+    const auto* const it = std::ranges::lower_bound(event_catalogue, id, {}, &event_definition::id);
     return it != event_catalogue.end() && it->id == id ? it : nullptr;
 }
 
@@ -76,7 +76,7 @@
     std::string text{introduction};
     for (const auto& it : ranges)
     {
-        text += range_text(it);
+        text += range_table(it);
     }
     return text;
 }
--- a/src/telemetry/latency_histogram.cpp
+++ b/src/telemetry/latency_histogram.cpp
@@ -14,8 +14,8 @@
 namespace bh = boost::histogram;
 
 constexpr unsigned bucket_count = 64;
-constexpr double lowest_us = 10;
-constexpr double highest_us = 1e9;
+constexpr double min_us = 10;
+constexpr double max_us = 1e9;
 
 using log_axis = bh::axis::regular<double, bh::axis::transform::log>;
 using thread_safe_count = bh::accumulators::count<std::uint64_t, true>;
@@ -24,7 +24,7 @@
 histogram_type make_histogram()
 {
     return bh::make_histogram_with(bh::dense_storage<thread_safe_count>{},
-                                   log_axis{bucket_count, lowest_us, highest_us});
+                                   log_axis{bucket_count, min_us, max_us});
 }
 
 } // namespace
@@ -74,14 +74,14 @@
 std::chrono::microseconds latency_histogram::quantile(double q) const
 {
     const auto rows = buckets();
-    const auto wanted = std::ceil(q * static_cast<double>(count()));
-    if (wanted <= 0)
+    const auto rank = std::ceil(q * static_cast<double>(count()));
+    if (rank <= 0)
     {
         return {};
     }
     for (const auto& it : rows)
     {
-        if (static_cast<double>(it.cumulative) >= wanted)
+        if (static_cast<double>(it.cumulative) >= rank)
         {
             return it.upper;
         }
--- a/src/telemetry/log.cpp
+++ b/src/telemetry/log.cpp
@@ -31,8 +31,9 @@
 
 bool needs_quotes(const std::string& value)
 {
-    const auto breaks = [](char c) { return c == ' ' || c == '"' || c == '\\' || c == '=' || is_control(c); };
-    return value.empty() || std::ranges::any_of(value, breaks);
+    const auto requires_quoting = [](char c)
+    { return c == ' ' || c == '"' || c == '\\' || c == '=' || is_control(c); };
+    return value.empty() || std::ranges::any_of(value, requires_quoting);
 }
 
 std::string escape(char c)
@@ -73,19 +74,19 @@
 }
 
 /// Bytes that wait for the reader of the log, at most: some seconds of the busiest gateway.
-constexpr std::size_t buffer_limit = std::size_t{1} << 20U;
+constexpr std::size_t max_buffered_bytes = std::size_t{1} << 20U;
 /// Lines of one kind in one second: several times what one gateway answers on a busy day.
-constexpr std::uint32_t lines_per_second = 500;
+constexpr std::uint32_t max_lines_per_second = 500;
 
 /// Collects lines until they are written; takes what glog formats.
-class buffered_sink final : public google::LogSink
+class buffered_log_sink final : public google::LogSink
 {
   public:
     void send(google::LogSeverity severity, const char* /*path*/, const char* /*file*/, int /*line*/,
               const google::LogMessageTime& time, const char* message, std::size_t size) override
     {
         const std::scoped_lock lock(m_mutex);
-        if (m_text.size() + size > buffer_limit)
+        if (m_text.size() + size > max_buffered_bytes)
         {
             ++m_dropped;
             return;
@@ -96,16 +97,16 @@
     }
 
     /// @return whether a line of this kind may be written now
-    bool admit(event_id id)
+    bool allow_line(event_id id)
     {
         const std::scoped_lock lock(m_mutex);
         const auto now = std::chrono::steady_clock::now();
-        if (now - m_second_began >= std::chrono::seconds{1})
+        if (now - m_window_start >= std::chrono::seconds{1})
         {
-            m_second_began = now;
-            m_lines.clear();
+            m_window_start = now;
+            m_window_lines.clear();
         }
-        const bool allowed = ++m_lines[id] <= lines_per_second;
+        const bool allowed = ++m_window_lines[id] <= max_lines_per_second;
         m_dropped += allowed ? 0 : 1;
         return allowed;
     }
@@ -134,26 +135,26 @@
     /// Wall time, sortable as text: where in the code a line was written follows from its event's number.
     void append_time(const google::LogMessageTime& time)
     {
-        constexpr int first_year = 1900;
-        constexpr std::size_t most = 40;
-        std::array<char, most> text{};
+        constexpr int tm_year_base = 1900;
+        constexpr std::size_t max_length = 40;
+        std::array<char, max_length> text{};
         const auto n = std::snprintf(text.data(), text.size(), "%04d-%02d-%02dT%02d:%02d:%02d.%06d ",
-                                     time.year() + first_year, time.month() + 1, time.day(), time.hour(),
+                                     time.year() + tm_year_base, time.month() + 1, time.day(), time.hour(),
                                      time.min(), time.sec(), time.usec());
         m_text.append(text.data(), static_cast<std::size_t>(n));
     }
 
     std::mutex m_mutex;
     std::string m_text;
-    std::chrono::steady_clock::time_point m_second_began;
-    std::map<event_id, std::uint32_t> m_lines;
+    std::chrono::steady_clock::time_point m_window_start;
+    std::map<event_id, std::uint32_t> m_window_lines;
     std::uint64_t m_dropped = 0;
 };
 
 /// Where lines go; null for glog's own way.
-std::unique_ptr<buffered_sink>& sink()
+std::unique_ptr<buffered_log_sink>& active_sink()
 {
-    static std::unique_ptr<buffered_sink> instance;
+    static std::unique_ptr<buffered_log_sink> instance;
     return instance;
 }
 
@@ -164,20 +165,20 @@
     start_log(process);
     const auto flags = ::fcntl(STDOUT_FILENO, F_GETFL);
     ::fcntl(STDOUT_FILENO, F_SETFL, flags | O_NONBLOCK);
-    sink() = std::make_unique<buffered_sink>();
+    active_sink() = std::make_unique<buffered_log_sink>();
 }
 
 void flush_log()
 {
-    if (!sink())
+    if (!active_sink())
     {
         return;
     }
-    if (const auto n = sink()->take_dropped(); n > 0)
+    if (const auto n = active_sink()->take_dropped(); n > 0)
     {
         log_event(event_id::log_lines_dropped, {{"lines", std::to_string(n)}});
     }
-    sink()->flush();
+    active_sink()->flush();
 }
 
 void start_log(const std::string& process)
@@ -191,22 +192,22 @@
 
 void log_event(event_id id, const std::vector<event_field>& fields)
 {
-    const event_row* const row = find_event(id);
+    const event_definition* const row = find_event(id);
     const auto severity = row != nullptr ? row->severity : event_severity::error;
-    if (!sink())
+    if (!active_sink())
     {
         google::LogMessage{__FILE__, __LINE__, glog_severity(severity)}.stream() << format_event(id, fields);
     }
-    else if (sink()->admit(id))
+    else if (active_sink()->allow_line(id))
     {
-        google::LogMessage{__FILE__, __LINE__, glog_severity(severity), sink().get(), false}.stream()
+        google::LogMessage{__FILE__, __LINE__, glog_severity(severity), active_sink().get(), false}.stream()
             << format_event(id, fields);
     }
 }
 
 std::string format_event(event_id id, const std::vector<event_field>& fields)
 {
-    const event_row* const row = find_event(id);
+    const event_definition* const row = find_event(id);
     std::string text = "E" + std::to_string(static_cast<std::uint16_t>(id)) + " ";
     text += row != nullptr ? row->name : "unlisted_event";
     for (const auto& it : fields)
--- a/src/telemetry/metrics.cpp
+++ b/src/telemetry/metrics.cpp
@@ -161,18 +161,23 @@
 {
     const std::lock_guard lock{m_mutex};
     std::string out;
-    for (const auto& [name, rows] : m_state->families)
+    for (const auto& [name, metric_family] : m_state->families)
     {
-        out.append("# HELP ").append(name).append(" ").append(rows.help).append("\n# TYPE ").append(name);
-        out.append(" ").append(type_name(rows.values)).append("\n");
-        const auto render_rows = [&](const auto& values)
+        out.append("# HELP ")
+            .append(name)
+            .append(" ")
+            .append(metric_family.help)
+            .append("\n# TYPE ")
+            .append(name);
+        out.append(" ").append(type_name(metric_family.values)).append("\n");
+        const auto render_series = [&](const auto& values)
         {
             for (const auto& [labels, value] : values)
             {
                 render_value(out, name, labels, *value);
             }
         };
-        std::visit(render_rows, rows.values);
+        std::visit(render_series, metric_family.values);
     }
     return out;
 }
--- a/src/telemetry/timeline.cpp
+++ b/src/telemetry/timeline.cpp
@@ -57,7 +57,7 @@
     {
         std::ranges::copy(it.events, std::back_inserter(merged));
     }
-    const auto key = [](const timeline_event& event) { return std::tie(event.stamp, event.process); };
+    const auto key = [](const timeline_event& event) { return std::tie(event.timestamp, event.process); };
     std::ranges::stable_sort(merged, {}, key);
     return merged;
 }
--- a/src/telemetry/timeline_json.cpp
+++ b/src/telemetry/timeline_json.cpp
@@ -24,8 +24,8 @@
     {
         fields[it.key] = it.value;
     }
-    return {{"wall_us", event.stamp.wall.count()},
-            {"counter", event.stamp.counter},
+    return {{"wall_us", event.timestamp.wall.count()},
+            {"counter", event.timestamp.counter},
             {"event", static_cast<std::uint16_t>(event.id)},
             {"program", event.program.value},
             {"call", event.call.value},
@@ -36,8 +36,8 @@
 timeline_event event_from_json(const json& row, const process_name& process)
 {
     timeline_event event;
-    event.stamp.wall = std::chrono::microseconds{row.at("wall_us").get<std::int64_t>()};
-    event.stamp.counter = row.at("counter").get<std::uint32_t>();
+    event.timestamp.wall = std::chrono::microseconds{row.at("wall_us").get<std::int64_t>()};
+    event.timestamp.counter = row.at("counter").get<std::uint32_t>();
     event.id = static_cast<event_id>(row.at("event").get<std::uint16_t>());
     event.process = process;
     event.program.value = row.at("program").get<std::string>();
--- a/src/telemetry/timeline_trace.cpp
+++ b/src/telemetry/timeline_trace.cpp
@@ -20,56 +20,54 @@
 
 using nlohmann::json;
 
-std::string name_of(const timeline_event& event)
+std::string event_name(const timeline_event& event)
 {
-    const event_row* const row = find_event(event.id);
+    const event_definition* const row = find_event(event.id);
     return row != nullptr ? std::string{row->name} : std::to_string(static_cast<unsigned>(event.id));
 }
 
 /// The viewer wants numbers for its rows; names go into metadata records.
-class row_numbers
+class trace_ids
 {
   public:
-    explicit row_numbers(json& records) : m_records(records) {}
+    explicit trace_ids(json& records) : m_records(records) {}
 
-    int process(const timeline_event& event)
+    int pid_of(const timeline_event& event)
     {
-        const auto [it, added] =
-            m_processes.try_emplace(event.process.value, static_cast<int>(m_processes.size()) + 1);
+        const auto [it, added] = m_pids.try_emplace(event.process.value, static_cast<int>(m_pids.size()) + 1);
         if (added)
         {
-            add_name("process_name", it->second, 0, event.process.value);
+            add_metadata("process_name", it->second, 0, event.process.value);
         }
         return it->second;
     }
 
-    int thread(const timeline_event& event)
+    int tid_of(const timeline_event& event)
     {
         if (event.program.empty())
         {
             return 0;
         }
-        const int pid = process(event);
-        const auto [it, added] =
-            m_programs.try_emplace(event.program.value, static_cast<int>(m_programs.size()) + 1);
-        if (m_named.try_emplace({pid, it->second}, true).second)
+        const int pid = pid_of(event);
+        const auto [it, added] = m_tids.try_emplace(event.program.value, static_cast<int>(m_tids.size()) + 1);
+        if (m_named_threads.try_emplace({pid, it->second}, true).second)
         {
-            add_name("thread_name", pid, it->second, event.program.value);
+            add_metadata("thread_name", pid, it->second, event.program.value);
         }
         return it->second;
     }
 
   private:
-    void add_name(std::string_view kind, int pid, int tid, const std::string& name)
+    void add_metadata(std::string_view kind, int pid, int tid, const std::string& name)
     {
         m_records.push_back(
             {{"ph", "M"}, {"name", kind}, {"pid", pid}, {"tid", tid}, {"args", {{"name", name}}}});
     }
 
     json& m_records;
-    std::map<std::string, int> m_processes;
-    std::map<std::string, int> m_programs;
-    std::map<std::pair<int, int>, bool> m_named;
+    std::map<std::string, int> m_pids;
+    std::map<std::string, int> m_tids;
+    std::map<std::pair<int, int>, bool> m_named_threads;
 };
 
 /// Pairs the ends of spans with their beginnings: the viewer matches them by name and id.
@@ -78,7 +76,7 @@
   public:
     void begin(const timeline_event& event)
     {
-        m_open[span_id(event)].push_back(name_of(event));
+        m_open[span_id(event)].push_back(event_name(event));
     }
 
     /// @return the name of the innermost open span, or nothing if its beginning has left the ring
@@ -124,7 +122,7 @@
 
 json instant_record(const timeline_event& event)
 {
-    return {{"ph", "i"}, {"name", name_of(event)}, {"s", "t"}};
+    return {{"ph", "i"}, {"name", event_name(event)}, {"s", "t"}};
 }
 
 json phase_record(const timeline_event& event, open_spans& spans)
@@ -132,7 +130,7 @@
     if (event.phase == event_phase::begin)
     {
         spans.begin(event);
-        return span_record(event, "b", name_of(event));
+        return span_record(event, "b", event_name(event));
     }
     if (event.phase == event_phase::end)
     {
@@ -145,25 +143,25 @@
 }
 
 /// `2026-12-02T10:11:12.123456Z+3`: the wall time in UTC and the counter.
-std::string stamp_text(const hlc_stamp& stamp)
+std::string timestamp_text(const hlc_timestamp& timestamp)
 {
     constexpr int fraction_digits = 6;
-    const auto seconds = std::chrono::floor<std::chrono::seconds>(stamp.wall);
+    const auto seconds = std::chrono::floor<std::chrono::seconds>(timestamp.wall);
     const std::time_t time = seconds.count();
     std::tm parts{};
     gmtime_r(&time, &parts);
     std::ostringstream text;
     text << std::put_time(&parts, "%FT%T.") << std::setw(fraction_digits) << std::setfill('0')
-         << (stamp.wall - seconds).count() << "Z+" << stamp.counter;
+         << (timestamp.wall - seconds).count() << "Z+" << timestamp.counter;
     return text.str();
 }
 
 std::string listing_line(const timeline_event& event)
 {
-    constexpr std::array<std::string_view, 3> marks{"[", "]", "."};
-    std::string line = stamp_text(event.stamp) + " " + event.process.value + " ";
-    line.append(marks.at(static_cast<std::size_t>(event.phase))).append(" E");
-    line += std::to_string(static_cast<unsigned>(event.id)) + " " + name_of(event);
+    constexpr std::array<std::string_view, 3> phase_marks{"[", "]", "."};
+    std::string line = timestamp_text(event.timestamp) + " " + event.process.value + " ";
+    line.append(phase_marks.at(static_cast<std::size_t>(event.phase))).append(" E");
+    line += std::to_string(static_cast<unsigned>(event.id)) + " " + event_name(event);
     if (!event.program.empty())
     {
         line += " program=" + event.program.value;
@@ -184,14 +182,14 @@
 std::string to_chrome_trace(const std::vector<timeline_event>& events)
 {
     json records = json::array();
-    row_numbers numbers{records};
+    trace_ids ids{records};
     open_spans spans;
     for (const auto& it : events)
     {
-        const int pid = numbers.process(it);
-        const int tid = numbers.thread(it);
+        const int pid = ids.pid_of(it);
+        const int tid = ids.tid_of(it);
         json record = phase_record(it, spans);
-        record["ts"] = it.stamp.wall.count();
+        record["ts"] = it.timestamp.wall.count();
         record["pid"] = pid;
         record["tid"] = tid;
         record["args"] = trace_args(it);
--- a/tests/unit/test_cli.cpp
+++ b/tests/unit/test_cli.cpp
@@ -37,8 +37,8 @@
 {
     std::ostringstream out;
     std::ostringstream err;
-    console to{out, err};
-    const auto code = run_command_line(args, to);
+    console output{out, err};
+    const auto code = run_command_line(args, output);
     return {code, out.str(), err.str()};
 }
 
@@ -223,8 +223,8 @@
     // The port is free once its owner is gone.
     std::string address;
     {
-        const fake_entry gone{{}};
-        address = gone.address();
+        const fake_entry closed_entry{{}};
+        address = closed_entry.address();
     }
     const auto result = run({"status", "--entry", address});
     CHECK(result.code == exit_code::unreachable);
@@ -279,9 +279,9 @@
 {
     timeline of_entry{{"entry-1"}, 4};
     of_entry.record(
-        {.stamp = {std::chrono::microseconds{2}, 0}, .id = event_id::call_accepted, .program = {"p"}});
+        {.timestamp = {std::chrono::microseconds{2}, 0}, .id = event_id::call_accepted, .program = {"p"}});
     timeline of_target{{"llm-1"}, 4};
-    of_target.record({.stamp = {std::chrono::microseconds{1}, 0}, .id = event_id::peer_up});
+    of_target.record({.timestamp = {std::chrono::microseconds{1}, 0}, .id = event_id::peer_up});
     fake_entry entry{{{"GET /v1/timeline", {.body = of_entry.to_json()}}}};
     fake_entry target{{{"GET /v1/timeline", {.body = of_target.to_json()}}}};
     fake_entry broken{{{"GET /v1/timeline", {.body = "no json"}}}};
--- a/tests/unit/test_load.cpp
+++ b/tests/unit/test_load.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-deployment_settings deployment_of(const char* name)
+deployment_settings read_deployment(const char* name)
 {
     auto result = read_settings(std::string{MASTICCOURSE_SOURCE_DIR} + "/deploy/" + name + ".toml");
     REQUIRE(std::holds_alternative<deployment_settings>(result));
@@ -34,7 +34,7 @@
 
 TEST_CASE("a plan is the same for the same seed and another for another")
 {
-    const auto settings = deployment_of("urad");
+    const auto settings = read_deployment("urad");
     const auto inputs_of = [&](std::uint64_t seed)
     {
         std::vector<std::string> inputs;
@@ -53,7 +53,7 @@
     std::vector<std::size_t> turns_by_customer;
     for (const auto* name : {"atlas-voie-verte", "urad"})
     {
-        const auto settings = deployment_of(name);
+        const auto settings = read_deployment(name);
         const auto programs = plan_load(settings, {.rate = 20, .duration = 100s});
         // 2,000 are expected; the seed is fixed, so the bounds only have to hold for it.
         CHECK(programs.size() > 1800);
@@ -83,7 +83,7 @@
 
 TEST_CASE("pauses scale")
 {
-    const auto settings = deployment_of("urad");
+    const auto settings = read_deployment("urad");
     const auto programs = plan_load(settings, {.rate = 5, .duration = 20s, .pause_scale = 0});
     for (const auto& it : programs)
     {
--- a/tests/unit/test_load_run.cpp
+++ b/tests/unit/test_load_run.cpp
@@ -27,14 +27,14 @@
   public:
     enum class first_answer
     {
-        good,
+        success,
         refused,
         lost,
         unknown,
     };
 
     explicit scripted_entry(first_answer first)
-        : m_first(first),
+        : m_first_answer(first),
           m_server(m_context, "127.0.0.1:0", {},
                    [this](const http_request& request, std::shared_ptr<http_exchange> exchange)
                    { answer(request, std::move(exchange)); }),
@@ -61,13 +61,13 @@
     [[nodiscard]] std::size_t calls()
     {
         const std::lock_guard lock{m_mutex};
-        return m_asked.size();
+        return m_request_counts.size();
     }
 
     [[nodiscard]] int open_programs()
     {
         const std::lock_guard lock{m_mutex};
-        return m_open;
+        return m_open_programs;
     }
 
   private:
@@ -76,12 +76,12 @@
         const std::lock_guard lock{m_mutex};
         if (request.method == "DELETE")
         {
-            --m_open;
+            --m_open_programs;
             exchange->respond({.body = "{}"});
         }
         else if (request.target == "/v1/programs")
         {
-            ++m_open;
+            ++m_open_programs;
             exchange->respond({.status = 201, .body = json{{"program", std::to_string(m_next++)}}.dump()});
         }
         else
@@ -92,29 +92,30 @@
 
     void answer_call(const http_request& request, std::shared_ptr<http_exchange> exchange)
     {
-        const bool first = m_asked[request.target + request.header("Idempotency-Key").value_or("")]++ == 0;
-        if (!first || m_first == first_answer::good)
+        const bool first =
+            m_request_counts[request.target + request.header("Idempotency-Key").value_or("")]++ == 0;
+        if (!first || m_first_answer == first_answer::success)
         {
             const json usage{{"prompt", 50}, {"cached", 20}, {"completion", 10}};
             exchange->respond({.body = json{{"output", "x"}, {"ran", "yes"}, {"usage", usage}}.dump()});
         }
-        else if (m_first == first_answer::refused)
+        else if (m_first_answer == first_answer::refused)
         {
             exchange->respond(problem_response(
                 {problem_id::overloaded, ran_state::no, "busy", std::chrono::milliseconds{1}}));
         }
-        else if (m_first == first_answer::unknown)
+        else if (m_first_answer == first_answer::unknown)
         {
             exchange->respond(problem_response({problem_id::outcome_unknown, ran_state::unknown, "lost"}));
         }
         // Otherwise the exchange is dropped, which closes the connection.
     }
 
-    first_answer m_first;
+    first_answer m_first_answer;
     boost::asio::io_context m_context{1};
     std::mutex m_mutex;
-    std::map<std::string, int> m_asked;
-    int m_open = 0;
+    std::map<std::string, int> m_request_counts;
+    int m_open_programs = 0;
     int m_next = 1;
     http_server m_server;
     std::jthread m_thread;
@@ -132,15 +133,15 @@
 {
     std::ostringstream out;
     std::ostringstream err;
-    console to{out, err};
-    return run_load(entry.settings(), two_programs(), to);
+    console output{out, err};
+    return run_load(entry.settings(), two_programs(), output);
 }
 
 } // namespace
 
 TEST_CASE("a run goes through all turns and sub-agents, and ends its programs")
 {
-    scripted_entry entry{scripted_entry::first_answer::good};
+    scripted_entry entry{scripted_entry::first_answer::success};
     const auto report = run_against(entry);
     CHECK(report.counts.programs_finished == 2);
     CHECK(report.samples.size() == 2);
@@ -178,17 +179,17 @@
 
 TEST_CASE("an entry that takes no connection is passed over")
 {
-    scripted_entry entry{scripted_entry::first_answer::good};
+    scripted_entry entry{scripted_entry::first_answer::success};
     auto settings = entry.settings();
     {
         // The port is free once its owner is gone.
-        const scripted_entry gone{scripted_entry::first_answer::good};
-        settings.entries.push_back(gone.settings().entries.front());
+        const scripted_entry closed_entry{scripted_entry::first_answer::success};
+        settings.entries.push_back(closed_entry.settings().entries.front());
     }
     std::ostringstream out;
     std::ostringstream err;
-    console to{out, err};
-    const auto report = run_load(settings, two_programs(), to);
+    console output{out, err};
+    const auto report = run_load(settings, two_programs(), output);
     CHECK(report.counts.programs_finished == 2);
     CHECK(report.counts.repeats == 0);
 }
--- a/tests/unit/test_telemetry.cpp
+++ b/tests/unit/test_telemetry.cpp
@@ -39,20 +39,20 @@
     auto wall = 100us;
     hybrid_clock clock{[&] { return wall; }};
     const auto first = clock.now();
-    CHECK(first == hlc_stamp{100us, 0});
+    CHECK(first == hlc_timestamp{100us, 0});
     SUBCASE("while the wall clock stands still or steps back")
     {
-        CHECK(clock.now() == hlc_stamp{100us, 1});
+        CHECK(clock.now() == hlc_timestamp{100us, 1});
         wall = 50us;
-        CHECK(clock.now() == hlc_stamp{100us, 2});
+        CHECK(clock.now() == hlc_timestamp{100us, 2});
         wall = 101us;
-        CHECK(clock.now() == hlc_stamp{101us, 0});
+        CHECK(clock.now() == hlc_timestamp{101us, 0});
     }
     SUBCASE("past what it observes")
     {
-        CHECK(clock.observe({500us, 7}) == hlc_stamp{500us, 8});
-        CHECK(clock.now() == hlc_stamp{500us, 9});
-        CHECK(clock.observe({200us, 0}) == hlc_stamp{500us, 10});
+        CHECK(clock.observe({500us, 7}) == hlc_timestamp{500us, 8});
+        CHECK(clock.now() == hlc_timestamp{500us, 9});
+        CHECK(clock.observe({200us, 0}) == hlc_timestamp{500us, 10});
     }
 }
 
@@ -100,7 +100,7 @@
 {
     latency_histogram histogram;
     constexpr int threads = 4;
-    constexpr int each = 2000;
+    constexpr int records_per_thread = 2000;
     {
         std::vector<std::jthread> workers;
         workers.reserve(threads);
@@ -109,15 +109,15 @@
             workers.emplace_back(
                 [&]
                 {
-                    for (int i = 0; i < each; ++i)
+                    for (int i = 0; i < records_per_thread; ++i)
                     {
                         histogram.record(5ms);
                     }
                 });
         }
     }
-    CHECK(histogram.count() == threads * each);
-    CHECK(histogram.buckets().back().cumulative == threads * each);
+    CHECK(histogram.count() == threads * records_per_thread);
+    CHECK(histogram.buckets().back().cumulative == threads * records_per_thread);
 }
 
 namespace
@@ -125,7 +125,7 @@
 
 timeline_event make_event(std::int64_t wall_us, event_id id, event_phase phase = event_phase::instant)
 {
-    return {.stamp = {std::chrono::microseconds{wall_us}, 0},
+    return {.timestamp = {std::chrono::microseconds{wall_us}, 0},
             .id = id,
             .program = {"p"},
             .call = {"c"},
@@ -145,8 +145,8 @@
     const auto events = line.events();
     REQUIRE(events.size() == 3);
     CHECK(line.dropped() == 2);
-    CHECK(events.front().stamp.wall == 3us);
-    CHECK(events.back().stamp.wall == 5us);
+    CHECK(events.front().timestamp.wall == 3us);
+    CHECK(events.back().timestamp.wall == 5us);
     SUBCASE("and survives its export")
     {
         const auto parsed = parse_timeline(line.to_json());
@@ -177,7 +177,7 @@
     a.record(make_event(5, event_id::call_finished, event_phase::end));
     const auto merged = merge_timelines({*parse_timeline(a.to_json()), *parse_timeline(b.to_json())});
     REQUIRE(merged.size() == 5);
-    CHECK(std::ranges::is_sorted(merged, {}, &timeline_event::stamp));
+    CHECK(std::ranges::is_sorted(merged, {}, &timeline_event::timestamp));
 
     SUBCASE("and the trace pairs each span's begin and end by name and id")
     {
