--- a/apps/masticcourse_entry_main.cpp
+++ b/apps/masticcourse_entry_main.cpp
@@ -1,4 +1,4 @@
-// masticcourse-entry: callers' and operators' HTTP, and the home of a share of the programs.
+// masticcourse-entry: HTTP API for callers and operators; runs the programs of the shards that it owns.
 #include "masticcourse/daemon/daemon_main.hpp"
 #include "masticcourse/daemon/entry_daemon.hpp"
 
--- a/apps/masticcourse_main.cpp
+++ b/apps/masticcourse_main.cpp
@@ -1,4 +1,4 @@
-// The operators' command line.
+// masticcourse: operator command line.
 #include "masticcourse/cli/command_line.hpp"
 
 #include <unistd.h>
--- a/apps/masticcourse_target_main.cpp
+++ b/apps/masticcourse_target_main.cpp
@@ -1,4 +1,4 @@
-// masticcourse-target: the sole door to the target beside it.
+// masticcourse-target: proxy in front of a target; all calls to the target go through it.
 #include "masticcourse/daemon/daemon_main.hpp"
 #include "masticcourse/daemon/target_daemon.hpp"
 
--- a/include/masticcourse/cli/command_line.hpp
+++ b/include/masticcourse/cli/command_line.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The operators' command line as a function, so that tests call it without a process.
+/// Entry point of the operator command line, callable in-process by tests.
 #pragma once
 
 #include <iosfwd>
@@ -9,29 +9,29 @@
 namespace masticcourse
 {
 
-/// What the command line returns to its shell.
+/// Exit status of the command line.
 enum class exit_code : int
 {
     ok = 0,
-    /// A process answered, with a refusal or a failure.
+    /// A process replied with an error.
     remote_failure = 1,
-    /// Wrong usage, or settings with faults.
+    /// Invalid arguments or invalid settings.
     usage = 2,
-    /// A process did not answer.
+    /// No reply from a process.
     unreachable = 3,
 };
 
-/// Where a command writes.
+/// Output streams of a command.
 struct console
 {
     std::ostream& out;
     std::ostream& err;
-    /// Whether @a err is a terminal that shows progress.
+    /// Whether to print progress to @a err; set if it is a terminal.
     bool shows_progress = false;
 };
 
-/// Runs one command.
-/// @param args the arguments after the program's name
+/// Runs the command named by the first argument.
+/// @param args command-line arguments without the program name
 exit_code run_command_line(const std::vector<std::string>& args, console& output);
 
 } // namespace masticcourse
--- a/include/masticcourse/telemetry/event.hpp
+++ b/include/masticcourse/telemetry/event.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The catalogue of numbered events. A number never changes its meaning; docs/EVENTS.md lists them.
+/// Catalogue of numbered events. Numbers are stable: they are never reused or redefined. docs/EVENTS.md is
+/// generated from this catalogue.
 #pragma once
 
 #include <array>
@@ -10,8 +11,8 @@
 namespace masticcourse
 {
 
-/// The numbers: 1xxx process and settings, 2xxx callers and programs, 3xxx journal, shards and store,
-/// 4xxx peers and membership, 5xxx targets and engines, 6xxx configuration, 7xxx decisions.
+/// Event numbers by range: 1xxx process and settings, 2xxx callers and programs, 3xxx journal, shards and
+/// store, 4xxx peers and membership, 5xxx targets and engines, 6xxx configuration, 7xxx decisions.
 enum class event_id : std::uint16_t
 {
     process_started = 1001,
@@ -88,18 +89,18 @@
     error,
 };
 
-/// One row of the catalogue.
+/// Catalogue entry of an event.
 struct event_definition
 {
     event_id id{};
     std::string_view name;
     event_severity severity = event_severity::info;
     std::string_view meaning;
-    /// What an operator does about it.
+    /// Recommended operator action.
     std::string_view action;
 };
 
-/// A named value of an event.
+/// Key-value pair attached to an event.
 struct event_field
 {
     std::string key;
@@ -107,7 +108,7 @@
     friend bool operator==(const event_field&, const event_field&) = default;
 };
 
-/// All events in order of their numbers.
+/// All events, sorted by number.
 inline constexpr std::array event_catalogue{
     event_definition{event_id::process_started, "process_started", event_severity::info, "A process started.",
                      "None."},
@@ -282,12 +283,12 @@
                      "Work was refused at the edge, with a time to come back.", "Add targets if it lasts."},
 };
 
-/// @return the catalogue's row, or a null pointer for a number that it lacks
+/// @return the catalogue entry, or nullptr if the number is unknown
 [[nodiscard]] const event_definition* find_event(event_id id);
 
 [[nodiscard]] std::string_view to_string(event_severity severity);
 
-/// @return the catalogue as it stands in docs/EVENTS.md
+/// @return the catalogue as Markdown, identical to docs/EVENTS.md
 [[nodiscard]] std::string event_reference();
 
 } // namespace masticcourse
--- a/include/masticcourse/telemetry/hlc.hpp
+++ b/include/masticcourse/telemetry/hlc.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A hybrid logical clock: wall time for people, with the order of cause and effect kept across processes.
+/// Hybrid logical clock: timestamps close to wall time that preserve causal order across processes.
 #pragma once
 
 #include <chrono>
@@ -11,33 +11,33 @@
 namespace masticcourse
 {
 
-/// A moment on the hybrid logical clock.
+/// Timestamp of a hybrid logical clock.
 struct hlc_timestamp
 {
     /// Wall time since the Unix epoch.
     std::chrono::microseconds wall{};
-    /// Orders stamps of the same wall time.
+    /// Logical counter; orders timestamps with equal wall time.
     std::uint32_t counter = 0;
 
     friend auto operator<=>(const hlc_timestamp&, const hlc_timestamp&) = default;
 };
 
-/// Gives out stamps that only grow, also when the wall clock steps back. Thread-safe.
+/// Issues strictly increasing timestamps, even if the wall clock steps back. Thread-safe.
 class hybrid_clock
 {
   public:
     using wall_clock = std::function<std::chrono::microseconds()>;
 
-    /// A clock over the system's wall clock.
+    /// Uses the system clock.
     hybrid_clock();
-    /// @param wall the wall clock to read; tests set it
+    /// @param wall source of wall time; replaceable in tests
     explicit hybrid_clock(wall_clock wall);
 
-    /// @return a stamp later than all that this clock gave out or observed
+    /// @return a timestamp later than every timestamp issued or observed so far
     [[nodiscard]] hlc_timestamp now();
 
-    /// Takes note of another process's stamp.
-    /// @return a stamp later than @a remote and than all before
+    /// Advances the clock past a timestamp received from another process.
+    /// @return a timestamp later than @a remote and every timestamp issued or observed so far
     hlc_timestamp observe(const hlc_timestamp& remote);
 
   private:
--- a/include/masticcourse/telemetry/log.hpp
+++ b/include/masticcourse/telemetry/log.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The log of a process: numbered events with fields, written by glog.
+/// Process log: numbered events with key-value fields, written through glog.
 #pragma once
 
 #include "masticcourse/telemetry/event.hpp"
@@ -10,21 +10,22 @@
 namespace masticcourse
 {
 
-/// Sets glog up for this process: to standard error, with @a process as program name.
+/// Initializes glog to write to standard error, with @a process as the program name.
 void start_log(const std::string& process);
 
-/// Sets the log up for this process: to standard output, through a buffer that flush_log() empties. Lines are
-/// left out, and counted, while the buffer is full or one kind of event comes too often; nothing waits for
-/// the reader.
+/// Initializes the log to write to non-blocking standard output through a buffer that flush_log() drains.
+/// Lines are dropped and counted while the buffer is full or an event exceeds its rate limit, so logging
+/// never blocks on a slow reader.
 void start_buffered_log(const std::string& process);
 
-/// Writes what the reader of standard output takes without waiting.
+/// Writes buffered lines to standard output, as far as possible without blocking.
 void flush_log();
 
-/// Writes `E1203 name key=value ...` with the severity of the event's catalogue row. Thread-safe.
+/// Logs `E1203 name key=value ...` with the severity from the event catalogue. Thread-safe.
 void log_event(event_id id, const std::vector<event_field>& fields = {});
 
-/// @return the line that log_event() writes; values with spaces, quotes or control characters are quoted
+/// @return the message that log_event() writes; empty values and values with spaces, quotes, backslashes,
+/// equals signs or control characters are quoted
 [[nodiscard]] std::string format_event(event_id id, const std::vector<event_field>& fields);
 
 } // namespace masticcourse
--- a/include/masticcourse/telemetry/metrics.hpp
+++ b/include/masticcourse/telemetry/metrics.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Counters, gauges and latency histograms of a process, rendered as Prometheus text.
+/// Counters, gauges and latency histograms of a process, exported in the Prometheus text format.
 #pragma once
 
 #include <atomic>
@@ -13,7 +13,7 @@
 namespace masticcourse
 {
 
-/// A count that only grows. Thread-safe.
+/// Monotonically increasing counter. Thread-safe.
 class counter
 {
   public:
@@ -31,7 +31,7 @@
     std::atomic<std::uint64_t> m_value{0};
 };
 
-/// A value that goes up and down. Thread-safe.
+/// Value that can increase and decrease. Thread-safe.
 class gauge
 {
   public:
@@ -54,7 +54,7 @@
     std::atomic<std::int64_t> m_value{0};
 };
 
-/// A histogram of durations on a logarithmic axis from 10 microseconds to 1,000 seconds. Thread-safe.
+/// Histogram of durations with logarithmic buckets from 10 microseconds to 1,000 seconds. Thread-safe.
 class latency_histogram
 {
   public:
@@ -67,21 +67,21 @@
 
     void record(std::chrono::microseconds elapsed);
 
-    /// One cumulative bucket.
+    /// Cumulative bucket.
     struct bucket
     {
         std::chrono::microseconds upper{};
-        /// Durations recorded at or below @a upper.
+        /// Number of durations less than or equal to @a upper.
         std::uint64_t cumulative = 0;
     };
 
-    /// @return the cumulative buckets; the durations above the last one are only in count()
+    /// @return the cumulative buckets; durations above the last bucket are included only in count()
     [[nodiscard]] std::vector<bucket> buckets() const;
     [[nodiscard]] std::uint64_t count() const;
     [[nodiscard]] std::chrono::microseconds sum() const;
 
     /// @param q between 0 and 1
-    /// @return the upper bound of the bucket that holds the quantile, or zero if nothing was recorded
+    /// @return the upper bound of the bucket that contains the quantile, or zero if the histogram is empty
     [[nodiscard]] std::chrono::microseconds quantile(double q) const;
 
   private:
@@ -89,7 +89,6 @@
     std::unique_ptr<state> m_state;
 };
 
-/// One label of a metric.
 struct metric_label
 {
     std::string key;
@@ -97,8 +96,8 @@
     friend bool operator==(const metric_label&, const metric_label&) = default;
 };
 
-/// Owns the metrics of a process. What it hands out lives as long as the registry: look up once, keep the
-/// reference, update without a lock.
+/// Owns the metrics of a process. Returned references are valid for the lifetime of the registry. Lookups
+/// take a lock and updates don't, so callers should keep the reference.
 class metrics_registry
 {
   public:
@@ -109,9 +108,10 @@
     metrics_registry(metrics_registry&&) = delete;
     metrics_registry& operator=(metrics_registry&&) = delete;
 
-    /// @param name the metric's name, such as `masticcourse_calls_total`
-    /// @param help one line for people; the first registration's stands
-    /// @throws std::logic_error if @a name is registered as another type
+    /// Returns the metric with this name and these labels, and creates it if it doesn't exist.
+    /// @param name the metric name, such as `masticcourse_calls_total`
+    /// @param help one-line description; the text of the first registration is used
+    /// @throws std::logic_error if @a name is already registered with a different type
     counter& get_counter(const std::string& name, const std::string& help,
                          const std::vector<metric_label>& labels = {});
     gauge& get_gauge(const std::string& name, const std::string& help,
--- a/include/masticcourse/telemetry/timeline.hpp
+++ b/include/masticcourse/telemetry/timeline.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The time line of a process: its latest events in a bounded ring, and the merge of several processes'
-/// rings.
+/// Event timeline of a process, kept in a bounded ring buffer, and merging of the timelines of several
+/// processes.
 #pragma once
 
 #include "masticcourse/core/ids.hpp"
@@ -17,7 +17,7 @@
 namespace masticcourse
 {
 
-/// Whether an event begins or ends something that lasts.
+/// Whether an event begins a span, ends a span or is instantaneous.
 enum class event_phase : std::uint8_t
 {
     begin,
@@ -25,7 +25,7 @@
     instant,
 };
 
-/// One event of the time line.
+/// Timeline entry.
 struct timeline_event
 {
     hlc_timestamp timestamp;
@@ -39,24 +39,24 @@
     friend bool operator==(const timeline_event&, const timeline_event&) = default;
 };
 
-/// A bounded ring of events; the oldest give way. Thread-safe.
+/// Ring buffer of events; the oldest are overwritten. Thread-safe.
 class timeline
 {
   public:
-    /// @param process  the process whose events these are
-    /// @param capacity events kept; at least one
+    /// @param process  the process that records the events
+    /// @param capacity maximum number of events; at least 1
     timeline(process_name process, std::size_t capacity);
 
-    /// Records an event; its process is set here.
+    /// Records an event and sets its process.
     void record(timeline_event event);
 
-    /// @return the events kept, oldest first
+    /// @return the recorded events, oldest first
     [[nodiscard]] std::vector<timeline_event> events() const;
 
-    /// @return how many events have given way to later ones
+    /// @return the number of overwritten events
     [[nodiscard]] std::uint64_t dropped() const;
 
-    /// @return the answer to `GET /v1/timeline`
+    /// @return the response body of `GET /v1/timeline`
     [[nodiscard]] std::string to_json() const;
 
   private:
@@ -68,7 +68,7 @@
     std::uint64_t m_dropped = 0;
 };
 
-/// What one process exported.
+/// Timeline exported by one process.
 struct timeline_export
 {
     process_name process;
@@ -76,16 +76,17 @@
     std::vector<timeline_event> events;
 };
 
-/// @return the export, or nothing if @a json is no valid one
+/// @return the parsed export, or std::nullopt if @a json is invalid
 [[nodiscard]] std::optional<timeline_export> parse_timeline(const std::string& json);
 
-/// @return the events of all exports, ordered by stamp, then by process
+/// @return the events of all exports, ordered by timestamp, then by process
 [[nodiscard]] std::vector<timeline_event> merge_timelines(const std::vector<timeline_export>& exports);
 
-/// @return the events as Chrome trace JSON: one row of the viewer per process, one thread per program
+/// @return the events in the Chrome trace format, with one trace process per process and one trace thread per
+/// program
 [[nodiscard]] std::string to_chrome_trace(const std::vector<timeline_event>& events);
 
-/// @return the events as lines of text
+/// @return the events as text, one line per event
 [[nodiscard]] std::string to_listing(const std::vector<timeline_event>& events);
 
 } // namespace masticcourse
--- a/src/cli/check_command.cpp
+++ b/src/cli/check_command.cpp
@@ -1,4 +1,4 @@
-// `masticcourse check`: reads a settings file and says all that is wrong with it.
+// `masticcourse check`: validates a settings file and reports all errors.
 #include "deployment_access.hpp"
 
 #include <nlohmann/json.hpp>
@@ -49,7 +49,7 @@
     const auto path = positional_argument(options);
     if (path.empty())
     {
-        output.err << "check: the settings file is missing\n";
+        output.err << "check: missing argument FILE\n";
         return exit_code::usage;
     }
     const bool as_json = options.count("json") != 0;
@@ -65,7 +65,7 @@
         write_faults({}, true, output);
         return exit_code::ok;
     }
-    output.out << path << ": good (" << settings.customer << ": " << settings.entries.size() << " entries, "
+    output.out << path << ": valid (" << settings.customer << ": " << settings.entries.size() << " entries, "
                << settings.targets.size() << " targets, " << settings.workspaces.size() << " workspaces)\n";
     return exit_code::ok;
 }
--- a/src/cli/command.hpp
+++ b/src/cli/command.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One command of the command line, and the table of all.
+/// Command descriptors of the command line.
 #pragma once
 
 #include "masticcourse/cli/command_line.hpp"
@@ -14,23 +14,23 @@
 
 namespace po = boost::program_options;
 
-/// One command: what it is called, what it takes, what it does.
+/// Name, arguments and implementation of a command.
 struct command_descriptor
 {
     std::string_view name;
-    /// How its positional argument is called in the help; empty if it takes none.
+    /// Name of the positional argument in the help text; empty if the command has none.
     std::string_view argument;
     std::string_view summary;
     void (*add_options)(po::options_description&);
     exit_code (*run)(const po::variables_map&, console&);
 };
 
-/// The name under which a positional argument is found.
+/// Key of the positional argument in the variables map.
 inline constexpr const char* argument_key = "argument";
 
 [[nodiscard]] std::span<const command_descriptor> all_commands();
 
-/// @name The commands
+/// @name Commands
 /// @{
 extern const command_descriptor check_command;
 extern const command_descriptor patch_command;
@@ -41,10 +41,10 @@
 extern const command_descriptor events_command;
 /// @}
 
-/// @return the positional argument, or an empty text
+/// @return the positional argument, or an empty string if it is not set
 [[nodiscard]] std::string positional_argument(const po::variables_map& options);
 
-/// @return the option's text, or an empty one
+/// @return the value of the option, or an empty string if it is not set
 [[nodiscard]] std::string option_text(const po::variables_map& options, const char* name);
 
 } // namespace masticcourse::detail
--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -83,7 +83,7 @@
         positional.add(detail::argument_key, 1);
     }
     po::variables_map options;
-    // Options are written out in full: a guessed one in a script may mean another thing tomorrow.
+    // Abbreviated options are rejected: new options could change the meaning of an abbreviation in a script.
     constexpr int style =
         po::command_line_style::unix_style & ~static_cast<int>(po::command_line_style::allow_guessing);
     po::store(po::command_line_parser{args}.options(all).positional(positional).style(style).run(), options);
@@ -125,7 +125,7 @@
     const auto it = std::ranges::find(commands, std::string_view{args.front()}, &command_descriptor::name);
     if (it == commands.end())
     {
-        output.err << "masticcourse: no command " << args.front() << "\n\n" << overview();
+        output.err << "masticcourse: unknown command " << args.front() << "\n\n" << overview();
         return exit_code::usage;
     }
     return run_command(*it, {args.begin() + 1, args.end()}, output);
--- a/src/cli/deployment_access.cpp
+++ b/src/cli/deployment_access.cpp
@@ -56,7 +56,7 @@
     }
     else if (options.count("entry") == 0)
     {
-        output.err << "either --settings or --entry is needed\n";
+        output.err << "either --settings or --entry is required\n";
         return std::nullopt;
     }
     if (access && options.count("entry") != 0)
@@ -69,7 +69,7 @@
         const auto content = read_file(option_text(options, "token-file"));
         if (!content)
         {
-            output.err << option_text(options, "token-file") << ": can't be read\n";
+            output.err << option_text(options, "token-file") << ": cannot read file\n";
             return std::nullopt;
         }
         access->token = first_line(*content);
@@ -133,7 +133,7 @@
         const auto on_reply = [&, n](http_client_reply reply)
         {
             replies[n] = std::move(reply);
-            // Idle connections would keep the context busy.
+            // Stop explicitly: idle keep-alive connections would keep run() from returning.
             if (--pending == 0)
             {
                 context.stop();
--- a/src/cli/events_command.cpp
+++ b/src/cli/events_command.cpp
@@ -1,4 +1,4 @@
-// `masticcourse events`: the catalogue of numbered events.
+// `masticcourse events`: prints the event catalogue.
 #include "command.hpp"
 #include "text_table.hpp"
 
--- a/src/cli/json_reply.hpp
+++ b/src/cli/json_reply.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Reads members of JSON replies for display; what is missing or malformed shows as a dash.
+/// Helpers that read JSON replies for display. Missing members are shown as a dash.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -10,14 +10,14 @@
 namespace masticcourse::detail
 {
 
-/// @return the document, or null if @a text is no JSON
+/// @return the parsed document, or a null value if @a text is not valid JSON
 [[nodiscard]] inline nlohmann::json parse_reply(const std::string& text)
 {
     auto document = nlohmann::json::parse(text, nullptr, false);
     return document.is_discarded() ? nlohmann::json{} : document;
 }
 
-/// @return a member as text for a table
+/// @return a member of an object as text, or `-` if it does not exist
 [[nodiscard]] inline std::string member_text(const nlohmann::json& document, std::string_view name)
 {
     if (!document.is_object() || !document.contains(name))
--- a/src/cli/load_command.cpp
+++ b/src/cli/load_command.cpp
@@ -1,4 +1,4 @@
-// `masticcourse load`: drives a deployment with its own mix of programs and measures them.
+// `masticcourse load`: generates load on a deployment from its customer's workload mix and reports latency.
 #include "deployment_access.hpp"
 #include "load_plan.hpp"
 #include "load_report.hpp"
@@ -33,7 +33,7 @@
                       .duration = std::chrono::seconds{options["seconds"].as<std::int64_t>()},
                       .seed = options["seed"].as<std::uint64_t>(),
                       .pause_scale = options["pause-scale"].as<double>()};
-    // Negated, so that "not a number" is refused as well.
+    // The conditions are negated so that NaN is rejected, too.
     if (!(load.rate > 0) || load.duration.count() <= 0 || !(load.pause_scale >= 0))
     {
         output.err << "load: --rate and --seconds must be greater than 0, --pause-scale at least 0\n";
@@ -53,7 +53,7 @@
     const auto settings = path.empty() ? std::nullopt : load_settings(path, output);
     if (!settings)
     {
-        output.err << (path.empty() ? "load: --settings is needed\n" : "");
+        output.err << (path.empty() ? "load: --settings is required\n" : "");
         return exit_code::usage;
     }
     const auto programs = plan_load(*settings, *load);
--- a/src/cli/load_plan.cpp
+++ b/src/cli/load_plan.cpp
@@ -13,13 +13,14 @@
 namespace
 {
 
-/// Draws numbers by formulas of our own: the standard's distributions differ between libraries.
+/// Seeded random numbers. The distributions are implemented here because those of the standard library differ
+/// between implementations, which would make plans depend on the platform.
 class seeded_random
 {
   public:
     explicit seeded_random(std::uint64_t seed) : m_engine(seed) {}
 
-    /// @return from 0 up to, but without, 1
+    /// @return a uniformly distributed number in [0, 1)
     double uniform()
     {
         constexpr unsigned dropped_bits = 11;
@@ -27,7 +28,7 @@
         return static_cast<double>(m_engine() >> dropped_bits) * scale;
     }
 
-    /// @return from @a first to @a last
+    /// @return a uniformly distributed integer in [@a first, @a last]
     std::size_t uniform_int(std::size_t first, std::size_t last)
     {
         return first + static_cast<std::size_t>(uniform() * static_cast<double>(last - first + 1));
@@ -38,7 +39,7 @@
         return uniform() < probability;
     }
 
-    /// @return an exponentially distributed number
+    /// @return an exponentially distributed number with the given mean
     double exponential(double mean)
     {
         return -mean * std::log1p(-uniform());
@@ -48,11 +49,11 @@
     std::mt19937_64 m_engine;
 };
 
-/// What programs of one class look like.
+/// Workload parameters of the programs of one service class.
 struct class_profile
 {
     service_class priority;
-    /// How often such a program starts, against the others.
+    /// Relative frequency of such programs.
     double weight;
     std::size_t min_turns;
     std::size_t max_turns;
@@ -64,16 +65,18 @@
     double sub_agent_share;
 };
 
-/// The programs of one customer, one row for each class.
+/// Workload of one customer, with one profile per service class.
 struct customer_mix
 {
     std::string_view customer;
     std::array<class_profile, 3> profiles;
 };
 
-/// Foremen's plans are short and have a line block waiting for them; photo reviews are long. Claimants'
-/// exchanges are long and remembered, with long pauses. The first row serves customers that the table doesn't
-/// know.
+/// Workload mixes by customer. The first one is the default for customers that are not listed.
+///
+/// At atlas-voie-verte, foremen's plans (assistance) are short and urgent, because a line block waits for
+/// them, and photo reviews (standard) are long. At urad, dialogues with claimants are long, keep their
+/// context and have long pauses.
 constexpr std::array customer_mixes{
     customer_mix{"",
                  {class_profile{service_class::assistance, 0.6, 5, 12, 20, 80, 60, 1500, 0.25, 0.06},
@@ -116,7 +119,7 @@
     return names;
 }
 
-/// Draws one program after the other.
+/// Generates the programs of a load run in order of their start times.
 class program_planner
 {
   public:
@@ -241,7 +244,7 @@
             text.append(text.empty() ? "" : " ")
                 .append(vocabulary.at(m_random.uniform_int(0, vocabulary.size() - 1)));
         }
-        // No two inputs are alike: a repeated call would look like a loop.
+        // The suffix makes each input unique: identical calls would trigger loop detection.
         return text + " " + std::to_string(m_next_input++);
     }
 
--- a/src/cli/load_plan.hpp
+++ b/src/cli/load_plan.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The programs of a load run, all drawn from a seed before the first one starts: what the system does can't
-/// change what it is asked (open loop).
+/// Plan of a load run. All programs are generated from a seed before the run starts (open loop), so the
+/// offered load does not depend on how the system responds.
 #pragma once
 
 #include "masticcourse/core/ids.hpp"
@@ -18,7 +18,7 @@
 
 struct planned_program;
 
-/// One call of a planned program, after a pause; or a whole sub-agent in its place.
+/// Step of a planned program: after a pause, either a call or the program of a sub-agent.
 struct planned_turn
 {
     std::chrono::milliseconds pause{};
@@ -27,13 +27,13 @@
     std::string input;
     bool idempotent = true;
     token_count max_tokens = 0;
-    /// The sub-agent's program if it has turns; then there is no call.
+    /// Turns of the sub-agent; if not empty, the step makes no call of its own.
     std::vector<planned_turn> sub_agent;
 };
 
 struct planned_program
 {
-    /// From the start of the run.
+    /// Time since the start of the run.
     std::chrono::milliseconds start{};
     /// Index into the settings' workspaces.
     std::size_t workspace = 0;
@@ -43,15 +43,15 @@
 
 struct load_options
 {
-    /// Programs that start in a second.
+    /// Program starts per second.
     double rate = 1;
     std::chrono::seconds duration{10};
     std::uint64_t seed = 1;
-    /// Multiplies all pauses.
+    /// Factor applied to all pauses.
     double pause_scale = 1;
 };
 
-/// @return the programs in order of their starts; the same options and settings always give the same ones
+/// @return the programs in order of their start times; deterministic for given settings and options
 [[nodiscard]] std::vector<planned_program> plan_load(const deployment_settings& settings,
                                                      const load_options& options);
 
--- a/src/cli/load_report.cpp
+++ b/src/cli/load_report.cpp
@@ -20,7 +20,7 @@
 
 constexpr std::array quantiles{0.50, 0.95, 0.99};
 
-/// The latencies of one class, or of all.
+/// Latencies of one service class, or of all programs.
 struct latency_group
 {
     std::string name;
@@ -42,7 +42,7 @@
     return rows;
 }
 
-/// One count and its name in both forms of the report.
+/// A counter and its name in the table and JSON reports.
 struct named_count
 {
     std::string_view name;
--- a/src/cli/load_report.hpp
+++ b/src/cli/load_report.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What a load run measured.
+/// Results of a load run.
 #pragma once
 
 #include "masticcourse/core/ids.hpp"
@@ -14,11 +14,11 @@
 namespace masticcourse::detail
 {
 
-/// One program that ended in good order.
+/// Measurement of a program that finished successfully.
 struct program_sample
 {
     service_class priority = service_class::standard;
-    /// From start to end, without the planned pauses: what the system is answerable for.
+    /// Time from start to end without the planned pauses, that is, the time spent in the system.
     std::chrono::milliseconds latency{};
 };
 
@@ -29,20 +29,19 @@
     std::uint64_t programs_failed = 0;
     std::uint64_t calls_finished = 0;
     std::uint64_t calls_failed = 0;
-    /// Answers that refused a request with `ran: no` and a time to come back.
+    /// Replies that rejected a request with `ran: no` and a retry delay.
     std::uint64_t refusals = 0;
-    /// Requests sent again for lack of an answer, with the same key.
+    /// Requests retried with the same idempotency key because no reply was received.
     std::uint64_t repeats = 0;
     std::uint64_t outcomes_unknown = 0;
     std::uint64_t prompt_tokens = 0;
     std::uint64_t completion_tokens = 0;
-    /// Prompt tokens that an engine had seen in the turn before.
+    /// Prompt tokens that an engine had already processed in the previous turn.
     std::uint64_t seen_tokens = 0;
-    /// Those of them that were computed again.
+    /// Seen tokens that were not served from the cache and had to be recomputed.
     std::uint64_t wasted_tokens = 0;
 };
 
-/// Everything that a run measured.
 struct load_report
 {
     load_counts counts;
@@ -50,11 +49,11 @@
 };
 
 /// @param q between 0 and 1
-/// @return the quantile by the nearest rank, or nothing without samples
+/// @return the nearest-rank quantile, or std::nullopt if @a values is empty
 [[nodiscard]] std::optional<std::chrono::milliseconds>
 quantile_of(std::vector<std::chrono::milliseconds> values, double q);
 
-/// @return the share of seen prompt tokens that were computed again
+/// @return the fraction of seen prompt tokens that were recomputed
 [[nodiscard]] double wasted_share(const load_counts& counts);
 
 [[nodiscard]] std::string report_table(const load_report& report);
--- a/src/cli/load_run.cpp
+++ b/src/cli/load_run.cpp
@@ -26,9 +26,9 @@
 using nlohmann::json;
 using run_clock = std::chrono::steady_clock;
 
-/// How long a caller goes on asking for one answer.
+/// Total time limit for a request, including retries.
 constexpr std::chrono::seconds retry_time_limit{60};
-/// How long an entry that takes no connection is passed over, as a balancer would.
+/// Time for which an entry is skipped after a failed connection attempt, as a load balancer would do.
 constexpr std::chrono::seconds connect_failure_cooldown{1};
 constexpr std::chrono::milliseconds default_backoff{250};
 constexpr std::chrono::milliseconds max_backoff{5'000};
@@ -39,7 +39,7 @@
 {
     const auto start = [&client](auto handler, const http_client_request& to_send)
     {
-        // The client's callback type is copyable, an asynchronous handler is not.
+        // The client requires a copyable callback, but asynchronous handlers are move-only.
         auto shared = std::make_shared<decltype(handler)>(std::move(handler));
         client.send(to_send, [shared](http_client_reply reply) { (*shared)(std::move(reply)); });
     };
@@ -58,7 +58,7 @@
     return reply.failure == http_failure::none && reply.status < first_non_success_status;
 }
 
-/// A refusal that says when to come back.
+/// @return the retry delay of a rejection, clamped to the backoff limits, or std::nullopt if it has none
 std::optional<std::chrono::milliseconds> retry_after(const json& document)
 {
     if (!document.is_object() || !document.contains("retry_after_ms") ||
@@ -77,24 +77,24 @@
     return valid ? usage.at(name).get<token_count>() : 0;
 }
 
-/// What a caller knows of one of its programs.
+/// Client-side state of a program.
 struct program_session
 {
     std::string id;
     const workspace_settings* workspace = nullptr;
     std::uint32_t turns_seen = 0;
-    /// Tokens that the engine has had before it by the last model call.
+    /// Tokens that the engine has processed: prompt and completion of the last model call.
     token_count processed_tokens = 0;
 };
 
-/// An entry, and until when it is passed over.
+/// Address of an entry, and the time until which it is skipped.
 struct entry_endpoint
 {
     std::string address;
     run_clock::time_point unavailable_until{};
 };
 
-/// The run: its counts and the callers that go on side by side, all on one thread.
+/// Executes a load run. Each program is a coroutine; all run on a single thread.
 class load_runner
 {
   public:
@@ -151,7 +151,8 @@
     }
 
     /// Creates a program, makes its calls and ends it.
-    /// @param total_pause takes the planned pauses
+    /// @param total_pause incremented by the planned pauses
+    /// @return whether all calls succeeded
     asio::awaitable<bool> run_turns(const std::vector<planned_turn>& turns,
                                     const workspace_settings& workspace, token_count budget,
                                     std::string parent, std::chrono::milliseconds& total_pause)
@@ -190,7 +191,7 @@
             body["parent"] = parent;
         }
         auto request = make_request({}, "POST", "/v1/programs", workspace.token);
-        // The same key on a repeat: a lost answer must not leave a program behind.
+        // Retries use the same key, so that a lost reply does not leave an orphaned program.
         request.headers.push_back({"Idempotency-Key", "load-" + std::to_string(m_next_key++)});
         request.body = body.dump();
         const auto reply = co_await send_with_retries(std::move(request));
@@ -251,8 +252,8 @@
             make_request({}, "DELETE", "/v1/programs/" + session.id, session.workspace->token));
     }
 
-    /// Sends a request until it is answered for good: a refusal is waited out, a lost answer asked for again
-    /// under the same key, by another entry.
+    /// Sends a request until it gets a final reply or the time limit expires. Rejections with a retry delay
+    /// and lost replies are retried with the same idempotency key at the next entry.
     asio::awaitable<http_client_reply> send_with_retries(http_client_request request)
     {
         const auto deadline = run_clock::now() + retry_time_limit;
@@ -270,7 +271,7 @@
         }
     }
 
-    /// @return how long to wait before the same request again; nothing if its answer is final
+    /// @return the delay before the next attempt, or std::nullopt if the reply is final
     std::optional<std::chrono::milliseconds> retry_delay(entry_endpoint& entry,
                                                          const http_client_reply& reply)
     {
@@ -296,7 +297,7 @@
                                    [&](const entry_endpoint& it) { return it.unavailable_until <= now; });
     }
 
-    /// @return the next entry in turn that takes connections; the next one at all if none does
+    /// @return the next available entry in round-robin order; if none is available, the next one
     entry_endpoint& next_entry()
     {
         const auto now = run_clock::now();
@@ -322,7 +323,7 @@
             const auto ended = counts.programs_finished + counts.programs_failed;
             m_console.err << "\r" << elapsed.count() << " s: " << counts.programs_started << " of "
                           << m_planned << " programs started, " << counts.programs_started - ended
-                          << " under way, " << counts.programs_failed << " failed, " << counts.refusals
+                          << " running, " << counts.programs_failed << " failed, " << counts.refusals
                           << " refusals   " << std::flush;
         }
     }
--- a/src/cli/load_run.hpp
+++ b/src/cli/load_run.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Drives a deployment with planned programs over HTTP and measures them.
+/// Executes a load plan against a deployment over HTTP.
 #pragma once
 
 #include "load_plan.hpp"
@@ -12,8 +12,9 @@
 namespace masticcourse::detail
 {
 
-/// Starts each program at its time, whatever has become of those before, and waits for all to end.
-/// @param output where progress is shown, if it is a terminal
+/// Starts each program at its planned time, regardless of the progress of earlier ones, and waits until all
+/// have ended.
+/// @param output receives progress if it is a terminal
 [[nodiscard]] load_report run_load(const deployment_settings& settings,
                                    const std::vector<planned_program>& programs, console& output);
 
--- a/src/cli/patch_command.cpp
+++ b/src/cli/patch_command.cpp
@@ -1,4 +1,5 @@
-// `masticcourse patch`: submits a JSON merge patch against a numbered version of the configuration.
+// `masticcourse patch`: submits a JSON merge patch against a given version of the configuration, or prints
+// the current configuration.
 #include "deployment_access.hpp"
 
 #include <ostream>
@@ -19,7 +20,7 @@
     options.add_options()("json", "write the document alone");
 }
 
-/// The version in an entity tag, without its quotes.
+/// @return the version from the `ETag` header, without quotes
 std::string version_text(const http_client_reply& reply)
 {
     auto tag = reply.header("ETag").value_or("unknown");
@@ -69,7 +70,7 @@
     const bool has_version = options.count("expect") != 0;
     if (path.empty() == has_version)
     {
-        output.err << "patch: --expect VERSION and FILE go together\n";
+        output.err << "patch: --expect VERSION and FILE must be used together\n";
         return exit_code::usage;
     }
     const auto access = read_access(options, output);
@@ -85,7 +86,7 @@
     const auto patch = read_file(path);
     if (!patch)
     {
-        output.err << path << ": can't be read\n";
+        output.err << path << ": cannot read file\n";
         return exit_code::usage;
     }
     return send_patch(*access, *patch, options["expect"].as<std::uint64_t>(), as_json, output);
--- a/src/cli/programs_command.cpp
+++ b/src/cli/programs_command.cpp
@@ -1,4 +1,4 @@
-// `masticcourse programs`: the programs under way, over all entries.
+// `masticcourse programs`: lists the running programs of all entries.
 #include "deployment_access.hpp"
 #include "json_reply.hpp"
 #include "text_table.hpp"
@@ -36,7 +36,7 @@
     return render_table(lines);
 }
 
-/// Adds the programs that one entry is home of.
+/// Appends the programs whose home is the given entry.
 void append_programs(nlohmann::json& rows, const http_client_reply& reply, const std::string& home,
                      bool with_ended)
 {
--- a/src/cli/status_command.cpp
+++ b/src/cli/status_command.cpp
@@ -1,4 +1,4 @@
-// `masticcourse status`: what each entry says of itself.
+// `masticcourse status`: shows the readiness and status of each entry.
 #include "deployment_access.hpp"
 #include "json_reply.hpp"
 #include "text_table.hpp"
@@ -19,7 +19,7 @@
     options.add_options()("json", "write JSON");
 }
 
-/// What one entry answered to both questions.
+/// Replies of an entry to the readiness and status requests.
 struct entry_status
 {
     std::string name;
--- a/src/cli/text_table.cpp
+++ b/src/cli/text_table.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t column_gap = 2;
 
-/// Characters as a terminal shows them: continuation bytes of UTF-8 take no place.
+/// @return the number of code points; UTF-8 continuation bytes are not counted
 std::size_t display_width(const std::string& text)
 {
     constexpr unsigned char mask = 0xc0;
--- a/src/cli/text_table.hpp
+++ b/src/cli/text_table.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Tables of text in aligned columns.
+/// Plain-text tables with aligned columns.
 #pragma once
 
 #include <string>
@@ -10,8 +10,8 @@
 
 using table_line = std::vector<std::string>;
 
-/// @param lines the heading and the rows, all of the same length
-/// @return the lines with their columns aligned
+/// @param lines the header and the rows, all with the same number of cells
+/// @return the table with aligned columns
 [[nodiscard]] std::string render_table(const std::vector<table_line>& lines);
 
 } // namespace masticcourse::detail
--- a/src/cli/timeline_command.cpp
+++ b/src/cli/timeline_command.cpp
@@ -1,4 +1,4 @@
-// `masticcourse timeline`: merges the time lines of all processes of a deployment.
+// `masticcourse timeline`: merges the timelines of all processes of a deployment.
 #include "deployment_access.hpp"
 
 #include "masticcourse/telemetry/timeline.hpp"
@@ -37,7 +37,7 @@
     return processes;
 }
 
-/// The exports of all processes that answered.
+/// Valid timeline exports of the processes, and the exit code over all replies.
 struct fetched_timelines
 {
     std::vector<timeline_export> exports;
@@ -68,21 +68,21 @@
             fetched.exports.push_back(std::move(*content));
             continue;
         }
-        output.err << processes[n].name << ": its time line can't be read\n";
+        output.err << processes[n].name << ": invalid timeline export\n";
         fetched.code = std::max(fetched.code, exit_code::remote_failure);
     }
     return fetched;
 }
 
-/// Writes both forms beside each other.
-/// @return whether both were written
+/// Writes the Chrome trace to PREFIX.json and the listing to PREFIX.txt.
+/// @return whether both files were written
 bool write_files(const std::string& prefix, const std::vector<timeline_event>& events, console& output)
 {
     const bool written = write_file(prefix + ".json", to_chrome_trace(events)) &&
                          write_file(prefix + ".txt", to_listing(events));
     if (!written)
     {
-        output.err << prefix << ": can't be written\n";
+        output.err << prefix << ": cannot write files\n";
     }
     return written;
 }
@@ -93,7 +93,7 @@
     const auto settings = path.empty() ? std::nullopt : load_settings(path, output);
     if (!settings)
     {
-        output.err << (path.empty() ? "timeline: --settings is needed\n" : "");
+        output.err << (path.empty() ? "timeline: --settings is required\n" : "");
         return exit_code::usage;
     }
     const auto fetched = fetch_timelines(*settings, output);
--- a/src/telemetry/event.cpp
+++ b/src/telemetry/event.cpp
@@ -11,7 +11,7 @@
 
 constexpr bool ids_ascending = std::ranges::adjacent_find(event_catalogue, std::ranges::greater_equal{},
                                                           &event_definition::id) == event_catalogue.end();
-static_assert(ids_ascending, "the catalogue is in order and no number stands twice");
+static_assert(ids_ascending, "event numbers must be unique and in ascending order");
 
 struct event_range
 {
--- a/src/telemetry/log.cpp
+++ b/src/telemetry/log.cpp
@@ -73,12 +73,12 @@
     return severities.at(static_cast<std::size_t>(severity));
 }
 
-/// Bytes that wait for the reader of the log, at most: some seconds of the busiest gateway.
+/// Maximum number of buffered bytes; holds several seconds of output of the busiest gateway.
 constexpr std::size_t max_buffered_bytes = std::size_t{1} << 20U;
-/// Lines of one kind in one second: several times what one gateway answers on a busy day.
+/// Rate limit per event number; several times the rate at which a gateway answers requests on a busy day.
 constexpr std::uint32_t max_lines_per_second = 500;
 
-/// Collects lines until they are written; takes what glog formats.
+/// Log sink that buffers messages until flush() writes them.
 class buffered_log_sink final : public google::LogSink
 {
   public:
@@ -96,7 +96,8 @@
         m_text.append(message, size).append("\n");
     }
 
-    /// @return whether a line of this kind may be written now
+    /// Applies the rate limit; counts the line as dropped if it exceeds the limit.
+    /// @return whether a line for this event may be written
     bool allow_line(event_id id)
     {
         const std::scoped_lock lock(m_mutex);
@@ -118,13 +119,13 @@
         {
             return;
         }
-        // What is not taken stays, whatever the reason: a full pipe empties again, and for a closed one the
-        // buffer's bound holds.
+        // Unwritten bytes stay in the buffer on any error: a full pipe drains later, and if the pipe is
+        // closed, the buffer size stays bounded.
         const auto n = ::write(STDOUT_FILENO, m_text.data(), m_text.size());
         m_text.erase(0, n > 0 ? static_cast<std::size_t>(n) : 0);
     }
 
-    /// @return lines left out since the last call
+    /// @return the number of lines dropped since the last call
     std::uint64_t take_dropped()
     {
         const std::scoped_lock lock(m_mutex);
@@ -132,7 +133,8 @@
     }
 
   private:
-    /// Wall time, sortable as text: where in the code a line was written follows from its event's number.
+    /// Appends the wall time in a lexicographically sortable format. Source file and line are omitted,
+    /// because the event number identifies the origin.
     void append_time(const google::LogMessageTime& time)
     {
         constexpr int tm_year_base = 1900;
@@ -151,7 +153,7 @@
     std::uint64_t m_dropped = 0;
 };
 
-/// Where lines go; null for glog's own way.
+/// Sink of the buffered log, or null if glog writes to its own destination.
 std::unique_ptr<buffered_log_sink>& active_sink()
 {
     static std::unique_ptr<buffered_log_sink> instance;
@@ -183,7 +185,7 @@
 
 void start_log(const std::string& process)
 {
-    // glog keeps the pointer.
+    // glog keeps the pointer, so the string must outlive this call.
     static std::string name;
     name = process;
     FLAGS_logtostderr = true;
--- a/src/telemetry/metrics.cpp
+++ b/src/telemetry/metrics.cpp
@@ -77,7 +77,7 @@
     std::uint64_t last = 0;
     for (const auto& it : value.buckets())
     {
-        // Empty buckets add nothing to a cumulative histogram, and most of them are empty.
+        // Most buckets are empty and don't change the cumulative count, so they are omitted.
         if (it.cumulative != last)
         {
             render_bucket(out, name, labels, seconds_text(it.upper), it.cumulative);
@@ -90,7 +90,7 @@
     out += name + "_count" + in_braces(labels) + " " + std::to_string(count) + "\n";
 }
 
-/// All series of one name, by their labels.
+/// Time series of one metric, keyed by the rendered labels.
 template <typename Metric>
 using series = std::map<std::string, std::unique_ptr<Metric>>;
 
@@ -121,7 +121,7 @@
         auto* const values = std::get_if<series<Metric>>(&it->second.values);
         if (values == nullptr)
         {
-            throw std::logic_error("metric " + name + " is registered as another type");
+            throw std::logic_error("metric " + name + " is already registered with a different type");
         }
         auto& metric = (*values)[labels_text(labels)];
         if (!metric)
--- a/src/telemetry/timeline_json.hpp
+++ b/src/telemetry/timeline_json.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The JSON form of a process's time line.
+/// JSON serialization of timelines.
 #pragma once
 
 #include "masticcourse/telemetry/timeline.hpp"
@@ -9,7 +9,7 @@
 namespace masticcourse::detail
 {
 
-/// @return the export as JSON; bytes that are no UTF-8 are replaced
+/// @return the export as JSON; invalid UTF-8 is replaced
 [[nodiscard]] std::string export_to_json(const timeline_export& content);
 
 } // namespace masticcourse::detail
--- a/src/telemetry/timeline_trace.cpp
+++ b/src/telemetry/timeline_trace.cpp
@@ -26,7 +26,8 @@
     return row != nullptr ? std::string{row->name} : std::to_string(static_cast<unsigned>(event.id));
 }
 
-/// The viewer wants numbers for its rows; names go into metadata records.
+/// Assigns the numeric process and thread ids of the trace format and writes metadata records with their
+/// names.
 class trace_ids
 {
   public:
@@ -70,7 +71,7 @@
     std::map<std::pair<int, int>, bool> m_named_threads;
 };
 
-/// Pairs the ends of spans with their beginnings: the viewer matches them by name and id.
+/// Matches span ends to their begins, because the trace viewer pairs them by name and id.
 class open_spans
 {
   public:
@@ -79,7 +80,7 @@
         m_open[span_id(event)].push_back(event_name(event));
     }
 
-    /// @return the name of the innermost open span, or nothing if its beginning has left the ring
+    /// @return the name of the innermost open span, or std::nullopt if its begin event was overwritten
     std::optional<std::string> end(const timeline_event& event)
     {
         auto& names = m_open[span_id(event)];
@@ -142,7 +143,7 @@
     return instant_record(event);
 }
 
-/// `2026-12-02T10:11:12.123456Z+3`: the wall time in UTC and the counter.
+/// Formats a timestamp as UTC wall time and logical counter, such as `2026-12-02T10:11:12.123456Z+3`.
 std::string timestamp_text(const hlc_timestamp& timestamp)
 {
     constexpr int fraction_digits = 6;
--- a/tests/unit/test_cli.cpp
+++ b/tests/unit/test_cli.cpp
@@ -1,4 +1,5 @@
-// The command line: usage, what needs no network, and the commands against a small server.
+// Unit tests of the command line: usage errors, local commands, and remote commands against an in-process
+// HTTP server.
 #include "masticcourse/cli/command_line.hpp"
 #include "masticcourse/net/http_server.hpp"
 #include "masticcourse/settings/settings.hpp"
@@ -25,7 +26,7 @@
 namespace
 {
 
-/// What one command did.
+/// Exit code and output of a command.
 struct command_result
 {
     exit_code code{};
@@ -44,7 +45,7 @@
 
 const std::string urad_settings = std::string{MASTICCOURSE_SOURCE_DIR} + "/deploy/urad.toml";
 
-/// A file that is gone with its owner.
+/// Temporary file, deleted on destruction.
 class scratch_file
 {
   public:
@@ -72,7 +73,7 @@
     std::filesystem::path m_path;
 };
 
-/// An entry that gives prepared answers and keeps the requests.
+/// HTTP server that returns canned responses and records the requests.
 class fake_entry
 {
   public:
@@ -125,7 +126,7 @@
 
 } // namespace
 
-TEST_CASE("wrong usage ends with code 2 and says why")
+TEST_CASE("usage errors exit with code 2 and print a message")
 {
     const std::vector<std::vector<std::string>> table{
         {},
@@ -155,7 +156,7 @@
     }
 }
 
-TEST_CASE("every command has a help")
+TEST_CASE("every command prints its help")
 {
     const auto overview = run({"--help"});
     CHECK(overview.code == exit_code::ok);
@@ -168,7 +169,7 @@
     }
 }
 
-TEST_CASE("check tells good settings from bad ones")
+TEST_CASE("check accepts valid settings and reports errors in invalid ones")
 {
     CHECK(run({"check", urad_settings}).code == exit_code::ok);
     const scratch_file bad{"bad.toml", "customer = 3\ncolour = 4\n"};
@@ -179,14 +180,14 @@
     CHECK(nlohmann::json::parse(as_json.out).size() >= 2);
 }
 
-TEST_CASE("the pages of the docs come from the command line")
+TEST_CASE("reference pages can be generated from the command line")
 {
     CHECK(run({"events", "--markdown"}).out == event_reference());
     CHECK(run({"check", "--markdown"}).out == settings_reference());
     CHECK(nlohmann::json::parse(run({"events", "--json"}).out).size() == event_catalogue.size());
 }
 
-TEST_CASE("patch sends the version that it was made against, and the token")
+TEST_CASE("patch sends the expected version and the operator token")
 {
     fake_entry entry{{{"PATCH /v1/config", {.body = R"({"limits":{}})", .headers = {{"ETag", "\"8\""}}}}}};
     const scratch_file patch{"patch.json", R"({"limits":null})"};
@@ -202,7 +203,7 @@
     CHECK(requests.front().header("Authorization") == "Bearer secret-of-operators");
 }
 
-TEST_CASE("a refused patch ends with code 1 and shows the problem")
+TEST_CASE("a rejected patch exits with code 1 and prints the problem")
 {
     fake_entry entry{{{"PATCH /v1/config", problem_response({problem_id::version_conflict, ran_state::no,
                                                              "version 9 is in force"})}}};
@@ -212,15 +213,15 @@
     CHECK(result.err.find("version 9 is in force") != std::string::npos);
 }
 
-TEST_CASE("without a version patch shows the configuration in force")
+TEST_CASE("patch without a version prints the current configuration")
 {
     fake_entry entry{{{"GET /v1/config", {.body = "{}", .headers = {{"ETag", "\"3\""}}}}}};
     CHECK(run({"patch", "--entry", entry.address()}).out == "version 3\n{}\n");
 }
 
-TEST_CASE("an entry that is away ends with code 3")
+TEST_CASE("an unreachable entry gives exit code 3")
 {
-    // The port is free once its owner is gone.
+    // The port is closed once the server is destroyed.
     std::string address;
     {
         const fake_entry closed_entry{{}};
@@ -231,7 +232,7 @@
     CHECK(result.out.find("unreachable") != std::string::npos);
 }
 
-TEST_CASE("status and programs show what the entries say, and stand malformed answers")
+TEST_CASE("status and programs print the replies of the entries and tolerate malformed ones")
 {
     struct row
     {
@@ -260,7 +261,7 @@
     }
 }
 
-TEST_CASE("programs that have ended are shown only when asked for")
+TEST_CASE("ended programs are listed only with --all")
 {
     fake_entry entry{
         {{"GET /v1/programs",
@@ -275,7 +276,7 @@
     CHECK(rows({"--all"}) == 2);
 }
 
-TEST_CASE("timeline merges what all processes export, and says who did not answer")
+TEST_CASE("timeline merges the exports of all processes and reports unusable ones")
 {
     timeline of_entry{{"entry-1"}, 4};
     of_entry.record(
--- a/tests/unit/test_load.cpp
+++ b/tests/unit/test_load.cpp
@@ -1,4 +1,4 @@
-// The load driver: its plan and its figures.
+// Unit tests of load plans and load reports.
 #include "../../src/cli/load_plan.hpp"
 #include "../../src/cli/load_report.hpp"
 
@@ -32,7 +32,7 @@
 
 } // namespace
 
-TEST_CASE("a plan is the same for the same seed and another for another")
+TEST_CASE("plans are equal for equal seeds and differ for different ones")
 {
     const auto settings = read_deployment("urad");
     const auto inputs_of = [&](std::uint64_t seed)
@@ -48,14 +48,14 @@
     CHECK(inputs_of(1) != inputs_of(2));
 }
 
-TEST_CASE("a plan has the deployment's mix")
+TEST_CASE("a plan follows the workload mix of the customer")
 {
     std::vector<std::size_t> turns_by_customer;
     for (const auto* name : {"atlas-voie-verte", "urad"})
     {
         const auto settings = read_deployment(name);
         const auto programs = plan_load(settings, {.rate = 20, .duration = 100s});
-        // 2,000 are expected; the seed is fixed, so the bounds only have to hold for it.
+        // The expected value is 2,000. The seed is fixed, so the test is deterministic.
         CHECK(programs.size() > 1800);
         CHECK(programs.size() < 2200);
         CHECK(std::ranges::is_sorted(programs, {}, &planned_program::start));
@@ -77,11 +77,11 @@
         CHECK(tools > models / 5);
         CHECK(tools < models);
     }
-    // Claimants' exchanges are longer than foremen's plans.
+    // Dialogues of claimants (urad) are longer than plans of foremen (atlas-voie-verte).
     CHECK(turns_by_customer.back() > turns_by_customer.front());
 }
 
-TEST_CASE("pauses scale")
+TEST_CASE("pauses are multiplied by pause_scale")
 {
     const auto settings = read_deployment("urad");
     const auto programs = plan_load(settings, {.rate = 5, .duration = 20s, .pause_scale = 0});
@@ -91,7 +91,7 @@
     }
 }
 
-TEST_CASE("a quantile is the nearest rank")
+TEST_CASE("quantile_of returns the nearest rank")
 {
     std::vector<std::chrono::milliseconds> values;
     for (int n = 100; n >= 1; --n)
@@ -111,7 +111,7 @@
     CHECK_FALSE(quantile_of({}, 0.5));
 }
 
-TEST_CASE("a report gives latency by class and the share of wasted cache")
+TEST_CASE("a report contains latencies by service class and the share of wasted tokens")
 {
     const load_report report{
         .counts = {.programs_finished = 2, .seen_tokens = 200, .wasted_tokens = 50},
--- a/tests/unit/test_load_run.cpp
+++ b/tests/unit/test_load_run.cpp
@@ -1,4 +1,4 @@
-// A load run against a small server that refuses, loses and answers calls.
+// Unit tests of load runs against an in-process HTTP server that rejects, drops or answers calls.
 #include "../../src/cli/load_run.hpp"
 
 #include "masticcourse/net/http_server.hpp"
@@ -21,7 +21,8 @@
 namespace
 {
 
-/// An entry that holds programs, and treats the first request for each call as its test says.
+/// HTTP server that acts as an entry. The response to the first request of each call is configurable; retries
+/// succeed.
 class scripted_entry
 {
   public:
@@ -57,7 +58,7 @@
                 .workspaces = {{.id = {"w"}, .token = "token", .max_budget = 100}}};
     }
 
-    /// Calls that ran, each counted once.
+    /// @return the number of distinct calls received
     [[nodiscard]] std::size_t calls()
     {
         const std::lock_guard lock{m_mutex};
@@ -108,7 +109,7 @@
         {
             exchange->respond(problem_response({problem_id::outcome_unknown, ran_state::unknown, "lost"}));
         }
-        // Otherwise the exchange is dropped, which closes the connection.
+        // In case of first_answer::lost, destroying the exchange closes the connection without a response.
     }
 
     first_answer m_first_answer;
@@ -139,7 +140,7 @@
 
 } // namespace
 
-TEST_CASE("a run goes through all turns and sub-agents, and ends its programs")
+TEST_CASE("a load run executes all turns and sub-agents and ends its programs")
 {
     scripted_entry entry{scripted_entry::first_answer::success};
     const auto report = run_against(entry);
@@ -148,12 +149,13 @@
     CHECK(report.counts.calls_finished == 5);
     CHECK(entry.calls() == 5);
     CHECK(entry.open_programs() == 0);
-    // Two second turns had 60 known tokens, of which the prompt held 50 and the cache 20.
+    // Each program has a second call, with 60 tokens processed before it: its prompt has 50, of which 20 are
+    // cached.
     CHECK(report.counts.seen_tokens == 100);
     CHECK(report.counts.wasted_tokens == 60);
 }
 
-TEST_CASE("refused and lost calls are sent again under their own keys")
+TEST_CASE("rejected and lost calls are retried with the same idempotency key")
 {
     for (const auto first : {scripted_entry::first_answer::refused, scripted_entry::first_answer::lost})
     {
@@ -167,7 +169,7 @@
     }
 }
 
-TEST_CASE("a call whose outcome is unknown ends its program and is not sent again")
+TEST_CASE("a call with an unknown outcome ends its program and is not retried")
 {
     scripted_entry entry{scripted_entry::first_answer::unknown};
     const auto report = run_against(entry);
@@ -177,12 +179,12 @@
     CHECK(entry.open_programs() == 0);
 }
 
-TEST_CASE("an entry that takes no connection is passed over")
+TEST_CASE("an entry that refuses connections is skipped")
 {
     scripted_entry entry{scripted_entry::first_answer::success};
     auto settings = entry.settings();
     {
-        // The port is free once its owner is gone.
+        // The port is closed once the server is destroyed.
         const scripted_entry closed_entry{scripted_entry::first_answer::success};
         settings.entries.push_back(closed_entry.settings().entries.front());
     }
--- a/tests/unit/test_telemetry.cpp
+++ b/tests/unit/test_telemetry.cpp
@@ -1,4 +1,4 @@
-// Events, clocks, metrics and the time line.
+// Unit tests of event formatting, the hybrid logical clock, metrics and timelines.
 #include "masticcourse/telemetry/hlc.hpp"
 #include "masticcourse/telemetry/log.hpp"
 #include "masticcourse/telemetry/metrics.hpp"
@@ -15,7 +15,7 @@
 using namespace masticcourse;
 using namespace std::chrono_literals;
 
-TEST_CASE("format_event quotes what would break a line")
+TEST_CASE("format_event quotes values that would make a line ambiguous")
 {
     struct row
     {
@@ -34,13 +34,13 @@
     CHECK(format_event(static_cast<event_id>(9999), {}) == "E9999 unlisted_event");
 }
 
-TEST_CASE("a hybrid clock only grows")
+TEST_CASE("hybrid_clock issues strictly increasing timestamps")
 {
     auto wall = 100us;
     hybrid_clock clock{[&] { return wall; }};
     const auto first = clock.now();
     CHECK(first == hlc_timestamp{100us, 0});
-    SUBCASE("while the wall clock stands still or steps back")
+    SUBCASE("while the wall clock does not advance or steps back")
     {
         CHECK(clock.now() == hlc_timestamp{100us, 1});
         wall = 50us;
@@ -48,7 +48,7 @@
         wall = 101us;
         CHECK(clock.now() == hlc_timestamp{101us, 0});
     }
-    SUBCASE("past what it observes")
+    SUBCASE("after observing a remote timestamp")
     {
         CHECK(clock.observe({500us, 7}) == hlc_timestamp{500us, 8});
         CHECK(clock.now() == hlc_timestamp{500us, 9});
@@ -56,7 +56,7 @@
     }
 }
 
-TEST_CASE("metrics render as Prometheus text")
+TEST_CASE("metrics are rendered in the Prometheus text format")
 {
     metrics_registry registry;
     registry.get_counter("calls_total", "Calls.", {{"service", "a\"b"}}).add(3);
@@ -78,7 +78,7 @@
     CHECK_THROWS_AS(static_cast<void>(registry.get_gauge("calls_total", "")), std::logic_error);
 }
 
-TEST_CASE("a histogram's quantiles are right within its buckets")
+TEST_CASE("histogram quantiles are accurate to the bucket width")
 {
     latency_histogram histogram;
     CHECK(histogram.quantile(0.5) == 0us);
@@ -96,7 +96,7 @@
     CHECK(std::ranges::is_sorted(histogram.buckets(), {}, &latency_histogram::bucket::cumulative));
 }
 
-TEST_CASE("a histogram loses nothing when several threads record")
+TEST_CASE("a histogram counts every value recorded concurrently")
 {
     latency_histogram histogram;
     constexpr int threads = 4;
@@ -135,7 +135,7 @@
 
 } // namespace
 
-TEST_CASE("a time line keeps the latest events in order")
+TEST_CASE("a timeline keeps the latest events in order")
 {
     timeline line{{"entry-1"}, 3};
     for (int n = 1; n <= 5; ++n)
@@ -147,7 +147,7 @@
     CHECK(line.dropped() == 2);
     CHECK(events.front().timestamp.wall == 3us);
     CHECK(events.back().timestamp.wall == 5us);
-    SUBCASE("and survives its export")
+    SUBCASE("and can be exported and parsed back")
     {
         const auto parsed = parse_timeline(line.to_json());
         REQUIRE(parsed);
@@ -157,7 +157,7 @@
     }
 }
 
-TEST_CASE("parse_timeline refuses what is no export")
+TEST_CASE("parse_timeline rejects invalid exports")
 {
     for (const auto* text : {"", "{}", "[]", R"({"process":"a","dropped":0,"events":[{}]})",
                              R"({"process":"a","dropped":0,"events":[{"wall_us":"x"}]})"})
@@ -166,7 +166,7 @@
     }
 }
 
-TEST_CASE("merged time lines are ordered by stamp over all processes")
+TEST_CASE("merged timelines are ordered by timestamp across processes")
 {
     timeline a{{"a"}, 8};
     timeline b{{"b"}, 8};
@@ -179,7 +179,7 @@
     REQUIRE(merged.size() == 5);
     CHECK(std::ranges::is_sorted(merged, {}, &timeline_event::timestamp));
 
-    SUBCASE("and the trace pairs each span's begin and end by name and id")
+    SUBCASE("and the trace pairs span begins and ends by name and id")
     {
         const auto trace = nlohmann::json::parse(to_chrome_trace(merged));
         std::vector<std::string> phases;
@@ -193,7 +193,7 @@
         CHECK(phases == std::vector<std::string>{"b:call_dispatched", "b:call_started", "e:call_started",
                                                  "e:call_dispatched", "i:call_finished"});
     }
-    SUBCASE("and the listing has a line for each")
+    SUBCASE("and the listing has one line per event")
     {
         const auto listing = to_listing(merged);
         CHECK(std::ranges::count(listing, '\n') == 5);
