--- a/tests/unit/test_gateway_access.cpp
+++ b/tests/unit/test_gateway_access.cpp
@@ -59,7 +59,7 @@
 
 } // namespace
 
-TEST_CASE("a key opens its workspace; without one, or with another, nothing is open but open routes")
+TEST_CASE("a key grants access to its workspace; without a known key only open routes are accessible")
 {
     gateway_config config;
     route closed;
@@ -94,7 +94,7 @@
     }
 }
 
-TEST_CASE("a request without a known key is refused before anything is done for it")
+TEST_CASE("a request without a known key is refused before any work is done for it")
 {
     keyed_world world;
     for (const auto* key : {"", "x"})
@@ -113,7 +113,7 @@
     CHECK(world.sent.empty());
 }
 
-TEST_CASE("turns and budgets are a workspace's own, whatever ids callers choose")
+TEST_CASE("turns and budgets are separate for each workspace, whatever ids callers choose")
 {
     keyed_world world;
     CHECK(world.run_turn("a1", "t-1")->ended);
@@ -131,7 +131,7 @@
     CHECK(workspace_scoped_id({"w"}, request_id{"t"}) != workspace_scoped_id({"w2"}, request_id{"t"}));
 }
 
-TEST_CASE("turns kept before there were workspaces stay where they are for callers without one")
+TEST_CASE("turns stored before workspaces were configured are not accessible from a workspace")
 {
     keyed_world world;
     const auto keyed = world.config;
@@ -145,7 +145,7 @@
     CHECK(body_of(*view) == "no_such_turn");
 }
 
-TEST_CASE("beyond its quota a workspace's requests are refused at once, others' are not")
+TEST_CASE("requests beyond a workspace's quota are refused immediately; other workspaces are not affected")
 {
     keyed_world world;
     std::size_t refused = 0;
@@ -173,10 +173,11 @@
     CHECK(world.sent.size() == 200 - refused + 1);
 }
 
-TEST_CASE("a permit is drawn anew if it lapsed before the request is sent, and for each further run")
+TEST_CASE(
+    "a new permit is acquired if one expires before the request is sent, and for each further execution")
 {
     keyed_world world;
-    SUBCASE("lapsed")
+    SUBCASE("expired permit")
     {
         // The budget covers only this turn, so the request waits until the reservation has been written.
         world.store.latency = 1'500ms;
@@ -198,7 +199,7 @@
         CHECK(world.sent.size() == before);
         CHECK(body_of(*view) == "over_quota");
     }
-    SUBCASE("a second run")
+    SUBCASE("second execution")
     {
         auto request = world.make_request("lookup", "r");
         request.access_key = "b1";
--- a/tests/unit/test_gateway_collected_rows.cpp
+++ b/tests/unit/test_gateway_collected_rows.cpp
@@ -144,7 +144,7 @@
 
 } // namespace
 
-TEST_CASE("remembered rows: the newest version, within the capacity, by range")
+TEST_CASE("the row cache returns the newest versions, also by key range, and stays within its capacity")
 {
     row_cache memory{1'000};
     memory.put({{"t", "a"}, "new", 7});
@@ -166,7 +166,7 @@
 
 // Load pattern: during a global store outage, retries of callers reach gateways that have not served their
 // program before.
-TEST_CASE("while the store is away, a gateway goes on with a program that only others have seen")
+TEST_CASE("while the store is unreachable, a gateway continues a program that only others have served")
 {
     peer_read_world world;
     REQUIRE(world.save(0, "a", {}, "in a;"));
@@ -202,7 +202,7 @@
     }
 }
 
-TEST_CASE("what a collector remembers costs the store no read; what it does not is read there")
+TEST_CASE("rows cached by the collector are not read from the store, and all others are")
 {
     peer_read_world world;
     REQUIRE(world.save(0, "a", {}, "in a;"));
@@ -219,7 +219,7 @@
 // Regression test for a failure found by the fault soak: a turn that a collector had evicted, or had written
 // before its restart, was reported as missing if the collector had cached a turn whose id has the first id as
 // a prefix.
-TEST_CASE("a turn is found in the store though only others, whose ids begin alike, are remembered")
+TEST_CASE("a turn is read from the store if only turns with its id as a prefix are cached")
 {
     peer_read_world world;
     std::string other;
@@ -238,7 +238,7 @@
 
 // Load pattern: VMs that become slow. A collector that is slow to reply to reads still writes commits in
 // time. If the gateways that query it excluded it, they would all write directly to the store.
-TEST_CASE("a collector that does not say what it remembers stays the collector")
+TEST_CASE("a collector that does not reply to reads remains the collector")
 {
     peer_read_world world;
     world.silent = true;
@@ -254,7 +254,7 @@
     }
 }
 
-TEST_CASE("a turn of several rows is read whole")
+TEST_CASE("a turn of several rows is read completely")
 {
     peer_read_world world;
     REQUIRE(world.save(0, "large", {}, std::string(3 * row_bytes, 'x')));
@@ -263,7 +263,7 @@
     CHECK(chain.prompt.size() == 3 * row_bytes + 4);
 }
 
-TEST_CASE("a refusal for the budget rests on the row itself, never on what is remembered of it")
+TEST_CASE("a refusal for the budget is based on the stored row, never on a cached one")
 {
     peer_read_world world;
     REQUIRE(world.reserve(0, "one", 900, true) == reservation_outcome::granted);
@@ -278,7 +278,7 @@
     CHECK(world.reserve(2, "three", 900, false) == reservation_outcome::over_budget);
 }
 
-TEST_CASE("queries and rows are read as they were written; damaged ones are none")
+TEST_CASE("queries and rows round-trip, and malformed ones are rejected")
 {
     const row_query query{.table = "t", .partition = "p1", .from = "a", .to = "a~~"};
     const auto read = decode_query(encode_query(query));
--- a/tests/unit/test_gateway_commits.cpp
+++ b/tests/unit/test_gateway_commits.cpp
@@ -46,7 +46,7 @@
 
 } // namespace
 
-TEST_CASE("what comes while two transactions are under way goes with the next one")
+TEST_CASE("changes that arrive while two transactions are in flight share the next one")
 {
     commit_world world;
     for (int n = 0; n < 50; ++n)
@@ -59,7 +59,7 @@
     CHECK(world.commits.pending() == 0);
 }
 
-TEST_CASE("a batch never holds more than the store takes")
+TEST_CASE("a batch never exceeds the store's limit for one transaction")
 {
     commit_world world;
     for (int n = 0; n < 400; ++n)
@@ -72,7 +72,7 @@
     CHECK(world.rows.transactions() >= 9);
 }
 
-TEST_CASE("a condition that fails is told to its own change; the others of the batch are written")
+TEST_CASE("a failed condition is reported for its own change only, and the rest of the batch is written")
 {
     commit_world world;
     world.put("held");
@@ -88,7 +88,7 @@
     CHECK(conflict->current->value == "value of held");
 }
 
-TEST_CASE("while the store refuses, changes wait and few calls are made; they are written on its return")
+TEST_CASE("while the store refuses calls, changes wait, and they are written once it is available again")
 {
     commit_world world;
     world.store.mode = store_mode::refusing;
@@ -100,7 +100,7 @@
     CHECK(world.count(store_outcome::done) == 1);
 }
 
-TEST_CASE("a change whose time is over is given up as unknown, once")
+TEST_CASE("an expired change fails as unknown, exactly once")
 {
     commit_world world;
     world.store.mode = store_mode::unresponsive;
@@ -110,7 +110,7 @@
     CHECK(world.commits.pending() == 0);
 }
 
-TEST_CASE("a lost answer to a conditional change shows as a conflict with its own value")
+TEST_CASE("a lost reply to a conditional change results in a conflict with the change's own value")
 {
     commit_world world;
     world.store.mode = store_mode::answers_lost;
@@ -122,7 +122,7 @@
     CHECK(world.results.front().current->value == "value of a");
 }
 
-TEST_CASE("of changes of one row under the same condition only one holds, also when they wait together")
+TEST_CASE("of several changes to a row with the same condition only one succeeds, even if they wait together")
 {
     commit_world world;
     world.put("first");
@@ -139,7 +139,7 @@
     CHECK(world.count(store_outcome::done) == 5);
 }
 
-TEST_CASE("a condition on a version that is known to be past fails at once, without a transaction")
+TEST_CASE("a condition on a version known to be outdated fails immediately, without a transaction")
 {
     commit_world world;
     world.put("row", 0);
@@ -154,7 +154,7 @@
     CHECK(world.count(store_outcome::done) == 2);
 }
 
-TEST_CASE("a change of a row that is being written waits, and does not fail the others with it")
+TEST_CASE("a change to a row that is being written waits, and does not abort the changes batched with it")
 {
     commit_world world;
     world.put("row", 0);
--- a/tests/unit/test_gateway_forwarding.cpp
+++ b/tests/unit/test_gateway_forwarding.cpp
@@ -141,12 +141,12 @@
     world.last()->begin(200);
     world.last()->event("one");
     CHECK(view->text == "data: one\n\n");
-    SUBCASE("whole")
+    SUBCASE("complete")
     {
         world.last()->end(200);
         CHECK(view->ended);
     }
-    SUBCASE("broken")
+    SUBCASE("interrupted")
     {
         world.last()->fail(http_failure::broken);
         CHECK(view->closed);
--- a/tests/unit/test_gateway_overdraft.cpp
+++ b/tests/unit/test_gateway_overdraft.cpp
@@ -374,7 +374,7 @@
         }));
 }
 
-TEST_CASE("while the store is unreachable a stream whose turns are not kept uses its program's overdraft")
+TEST_CASE("while the store is unreachable a stream whose turns are not stored uses its program's overdraft")
 {
     forwarding_fixture world;
     world.buckets.start();
@@ -426,7 +426,7 @@
         CHECK(find_header(next->response->headers, "retry-after"));
         CHECK(world.sent.size() == sent);
     }
-    SUBCASE("turns that are kept wait for the store")
+    SUBCASE("turns that are stored wait for the store")
     {
         const auto kept = world.send(world.make_turn_request("t"));
         world.last()->begin(200);
--- a/tests/unit/test_gateway_peers.cpp
+++ b/tests/unit/test_gateway_peers.cpp
@@ -169,7 +169,7 @@
 
 } // namespace
 
-TEST_CASE("all gateways name the same collector, and partitions are shared by weight")
+TEST_CASE("all gateways select the same collector, and partitions are distributed by weight")
 {
     auto peers = make_peers(10);
     peers[0].cores = 8;
@@ -195,7 +195,7 @@
 
 // Load pattern: VMs with a tenth of a core among larger ones. Such a VM cannot keep up as the collector of an
 // eighth of the commits of 34 gateways, and replies to neither commits nor reads in time.
-TEST_CASE("a VM with little processor time collects nothing while there are others")
+TEST_CASE("a VM with little CPU collects no commits while there are others")
 {
     std::vector<peer> peers = make_peers(10);
     for (std::size_t n = 0; n < 8; ++n)
@@ -220,7 +220,7 @@
     CHECK(alone.collector_of("p", start).value_or(peers[0].address) != peers[9].address);
 }
 
-TEST_CASE("a gateway that does not answer is left out, longer each time, until it answers")
+TEST_CASE("an unresponsive gateway is excluded, longer with each failure, until it replies")
 {
     const auto peers = make_peers(2);
     peer_directory directory{peers[0]};
@@ -240,7 +240,7 @@
     }
 }
 
-TEST_CASE("a gateway that lacks the store is left out for a short while, however often it says so")
+TEST_CASE("a gateway that cannot reach the store is excluded briefly, however often it reports this")
 {
     const auto peers = make_peers(2);
     peer_directory directory{peers[0]};
@@ -254,7 +254,7 @@
     CHECK(directory.choose(5, start + 300ms).size() == 1);
 }
 
-TEST_CASE("through a collector, many gateways' changes share few transactions")
+TEST_CASE("the changes of many gateways share few transactions through a collector")
 {
     router_world world{40};
     for (int round = 0; round < 10; ++round)
@@ -270,7 +270,7 @@
     CHECK(world.rows.transactions() < 60);
 }
 
-TEST_CASE("what a dead collector does not answer is written all the same, and others collect from then on")
+TEST_CASE("changes sent to a dead collector are still written, and others collect from then on")
 {
     router_world world{5};
     auto& first = *world.members.begin()->second;
@@ -291,7 +291,7 @@
     CHECK(world.messages > messages);
 }
 
-TEST_CASE("a condition that fails at the collector is told to the change's own sender")
+TEST_CASE("a condition that fails at the collector is reported to the sender of that change")
 {
     router_world world{3};
     auto& one = *world.members.begin()->second;
@@ -306,7 +306,7 @@
     CHECK(conflict->current->value == "value of same");
 }
 
-TEST_CASE("messages are read as they were written; damaged ones are none")
+TEST_CASE("commit messages round-trip, and malformed ones are rejected")
 {
     const std::vector<routed_change> changes{
         {"p1", {.puts = {{{"t", "a"}, std::string("\0\xff", 2)}}, .expires = start + 2s}},
@@ -336,7 +336,7 @@
     CHECK_FALSE(decode_results("\x81\x83\x09\x00\xf6"s));
 }
 
-TEST_CASE("gateways find each other in the store; one that leaves, or writes no more, is off the list")
+TEST_CASE("gateways discover each other through the store; one that leaves or stops refreshing is removed")
 {
     virtual_time time;
     row_table rows;
@@ -374,7 +374,7 @@
 // Load pattern: a store outage of seconds under full load. If senders considered their collectors failed
 // meanwhile, they would all write directly after it, the partitions would stay overloaded, and collectors
 // would keep missing their reply time.
-TEST_CASE("after an outage the same collectors go on, and each change is written in few transactions")
+TEST_CASE("after an outage the collectors are unchanged, and changes share few transactions")
 {
     for (const auto mode : {store_mode::unresponsive, store_mode::refusing})
     {
@@ -411,7 +411,7 @@
     }
 }
 
-TEST_CASE("a collector that can't reach the store is left by those that can")
+TEST_CASE("a collector that cannot reach the store is replaced by one that can")
 {
     router_world world{5};
     auto& first = *world.members.begin()->second;
@@ -434,7 +434,7 @@
 // Load pattern: a store outage of seconds, in which each of forty gateways asks a few random peers to relay
 // its calls. If gateways treated peers without a connection to the store as failed, they would select
 // different collectors after the outage, and their direct writes would conflict with each other.
-TEST_CASE("gateways that asked each other for a way in an outage agree on the collector soon after it")
+TEST_CASE("gateways that tried to relay through each other in an outage soon agree on the collector again")
 {
     router_world world{40};
     for (int round = 0; round < 80; ++round)
@@ -461,7 +461,7 @@
 // Load pattern: the store rejects a third of the gateways, or a third stops responding, including collectors.
 // The other gateways share the same partitions: if each wrote directly, the load on the partitions would grow
 // with the number of gateways.
-TEST_CASE("the load on partitions does not grow with the gateways that lost their collectors")
+TEST_CASE("the load on partitions does not grow with the number of gateways that lost their collectors")
 {
     for (const int count : {10, 100, 400})
     {
@@ -479,8 +479,7 @@
     }
 }
 
-TEST_CASE(
-    "a gateway that lacks the store leaves its own partitions to others, and collects if nobody else does")
+TEST_CASE("a gateway that cannot reach the store collects only if no other gateway can")
 {
     const auto peers = make_peers(5);
     peer_directory directory{peers[0]};
@@ -498,7 +497,7 @@
     CHECK(directory.collector_of("p", start, true));
 }
 
-TEST_CASE("a gateway that has lacked the store for long is asked less often, within a bound")
+TEST_CASE("a gateway is excluded longer the longer it has been unable to reach the store, up to a limit")
 {
     struct row
     {
@@ -516,7 +515,7 @@
     }
 }
 
-TEST_CASE("a silent gateway is asked again once; until it answers, others collect")
+TEST_CASE("an unresponsive gateway is probed with one request, and excluded until it replies")
 {
     const auto peers = make_peers(2);
     peer_directory directory{peers[0]};
@@ -532,7 +531,7 @@
     CHECK(directory.choose(1, later).size() == 1);
 }
 
-TEST_CASE("while a gateway has no way to the store, its changes wait without a message, and end in time")
+TEST_CASE("while the store is unreachable, changes wait without messages to collectors, and expire in time")
 {
     router_world world{5};
     for (auto& [address, member] : world.members)
@@ -553,7 +552,7 @@
     CHECK(writer.router.pending() == 0);
 }
 
-TEST_CASE("the peer that last passed calls on is asked first, as long as it has the store")
+TEST_CASE("the peer that last relayed a call is tried first, as long as it can reach the store")
 {
     const auto peers = make_peers(50);
     peer_directory directory{peers[0]};
@@ -566,7 +565,7 @@
     CHECK(std::ranges::find(others, relay) == others.end());
 }
 
-TEST_CASE("a gateway that is cut off hands its own partitions on")
+TEST_CASE("a gateway without a direct path to the store forwards changes to its own partitions")
 {
     router_world world{5};
     for (auto& [address, member] : world.members)
@@ -587,7 +586,7 @@
 // it. If each gateway tried one collector after the other, the messages would grow quadratically with their
 // number.
 TEST_CASE(
-    "in an outage that is not known as one for all yet, a gateway's messages do not grow with their number")
+    "until an outage is known to be global, a gateway's messages do not grow with the number of gateways")
 {
     std::map<int, int> messages;
     for (const int count : {10, 100, 400})
--- a/tests/unit/test_gateway_quota.cpp
+++ b/tests/unit/test_gateway_quota.cpp
@@ -53,7 +53,7 @@
 
 } // namespace
 
-TEST_CASE("slices together keep the rule, portions that are used late included")
+TEST_CASE("all slices together comply with the rule, even if permits are used late")
 {
     struct row
     {
@@ -88,7 +88,7 @@
     }
 }
 
-TEST_CASE("a slice starts empty, fills at its rate up to its burst, and says when there is room")
+TEST_CASE("a slice starts empty, refills at its rate up to its burst, and reports when it has capacity")
 {
     const slice_limits limits{.count = 4, .rate = 10, .burst = 5, .permit_lifetime = 500ms};
     time_point now{1'000s};
@@ -104,7 +104,7 @@
     CHECK(slice.grant(demand_of(0, 100), limits, now).granted.others == 5);
 }
 
-TEST_CASE("requests are granted ahead only while there is plenty")
+TEST_CASE("permits are prefetched only while the slice has ample capacity")
 {
     const slice_limits limits{.count = 1, .rate = 10, .burst = 100, .permit_lifetime = 500ms};
     time_point now{1'000s};
@@ -117,7 +117,7 @@
 }
 
 // Load pattern: a flood of first requests of programs.
-TEST_CASE("as many programs begin as the slice can carry to their end, and those under way go first")
+TEST_CASE("only as many programs start as the slice can complete, and those in progress have precedence")
 {
     const slice_limits limits{.count = 1, .rate = 100, .burst = 100, .permit_lifetime = 500ms};
     time_point now{1'000s};
@@ -145,7 +145,7 @@
     CHECK(plain.grant(demand_of(0, 90), limits, now).granted.others == 0);
 }
 
-TEST_CASE("questions and answers there and back, and nothing that is none")
+TEST_CASE("grant requests and responses round-trip, and malformed ones are rejected")
 {
     const grant_request request{.slice = {{"w"}, 3}, .demand = {.waiting = {2, 5}, .prefetch = 7}};
     const auto read = decode_grant_request(encode(request));
@@ -175,7 +175,7 @@
               });
 }
 
-TEST_CASE("what is usual is let through at once, wherever it comes in, at most one message a request")
+TEST_CASE("the usual load is admitted at once through any gateways, with at most one message per request")
 {
     for (const auto& it : {ingress{1, 1}, ingress{6, 6}, ingress{26, 1}, ingress{26, 2}, ingress{26, 26},
                            ingress{127, 127}, ingress{400, 3}})
@@ -194,7 +194,7 @@
     }
 }
 
-TEST_CASE("beyond the quota, nearly as much is let through as one counter for all would")
+TEST_CASE("beyond the quota, nearly as many requests are admitted as by one exact counter")
 {
     for (const auto& it : {ingress{1, 1}, ingress{6, 6}, ingress{26, 1}, ingress{26, 2}, ingress{26, 26},
                            ingress{127, 127}, ingress{400, 400}})
@@ -220,7 +220,7 @@
 
 // Load pattern: a flood of one workspace arrives through all gateways, with requests waiting for capacity on
 // each.
-TEST_CASE("what a flood asks of the holders does not grow with the gateways that it comes through")
+TEST_CASE("the load of a flood on the holders does not grow with the number of gateways it arrives through")
 {
     for (const std::size_t gateways : {10U, 100U, 400U})
     {
@@ -237,7 +237,7 @@
 }
 
 // Load pattern: a burst on VMs with little CPU capacity, which need it for their own callers.
-TEST_CASE("VMs with little processor time hold no slices while there are others")
+TEST_CASE("VMs with little CPU hold no slices while there are others")
 {
     constexpr double little = 0.09;
     quota_group group(0, {{"w", {40, 40}}});
@@ -245,7 +245,7 @@
     {
         group.start("weak" + std::to_string(n), little);
     }
-    SUBCASE("others are there")
+    SUBCASE("with other gateways")
     {
         group.start("strong0");
         group.start("strong1");
@@ -257,7 +257,7 @@
             CHECK(holder->starts_with("strong"));
         }
     }
-    SUBCASE("nobody else is there")
+    SUBCASE("without other gateways")
     {
         group.time.run(20s);
         for (std::size_t bucket = 0; bucket < quota_bucket_count; ++bucket)
@@ -270,7 +270,7 @@
     CHECK(group.sent["w"].size() == 50);
 }
 
-TEST_CASE("with a holder dead, frozen or cut off, the other slices carry what is usual")
+TEST_CASE("if a holder is dead, frozen or partitioned, the other slices carry the usual load")
 {
     quota_group group(26, {{"w", {40, 40}}});
     const auto holder = group.at("g0").buckets.holder_of(quota_bucket_of({{"w"}, 0}));
@@ -286,7 +286,7 @@
     {
         group.freeze(*holder, 4s);
     }
-    SUBCASE("cut off")
+    SUBCASE("partitioned")
     {
         group.at(*holder).partitioned = true;
     }
@@ -301,14 +301,13 @@
     }
 }
 
-TEST_CASE(
-    "a slice whose holder is gone for good is another's after the lease, and a frozen holder stops by itself")
+TEST_CASE("a slice of a failed holder is taken over after its lease, and a frozen holder stops by itself")
 {
     quota_group group(6, {{"w", {40, 40}}});
     const auto bucket = quota_bucket_of({{"w"}, 0});
     const auto holder = *group.at("g0").buckets.holder_of(bucket);
     REQUIRE(group.at(holder).buckets.holds(bucket));
-    SUBCASE("gone")
+    SUBCASE("failed permanently")
     {
         group.stop(holder);
         group.time.run(10s);
@@ -318,7 +317,7 @@
         CHECK(next != holder);
         CHECK(group.at(next).buckets.holds(bucket));
     }
-    SUBCASE("without the store")
+    SUBCASE("the store does not respond")
     {
         group.at(holder).store.mode = store_mode::unresponsive;
         group.time.run(10s);
@@ -326,7 +325,7 @@
         group.time.run(20s);
         CHECK_FALSE(group.at(holder).buckets.holds(bucket));
     }
-    SUBCASE("frozen for long")
+    SUBCASE("frozen beyond its lease")
     {
         group.freeze(holder, 100s);
         group.time.run(99s);
@@ -338,7 +337,7 @@
     }
 }
 
-TEST_CASE("the next life on a VM goes on with its slices at once, from nothing")
+TEST_CASE("the next incarnation on a VM takes over its slices immediately, and they start empty")
 {
     quota_group group(6, {{"w", {40, 40}}});
     const auto bucket = quota_bucket_of({{"w"}, 0});
@@ -351,7 +350,7 @@
     CHECK(complies_with_rule(group.sent["w"], {40, 40}, default_rule));
 }
 
-TEST_CASE("a gateway that comes back takes all that its life before held, also beyond its share")
+TEST_CASE("a restarted gateway takes all slices of its previous incarnation, also beyond its fair share")
 {
     quota_group group(2, {{"w", {40, 40}}});
     for (int n = 2; n < 8; ++n)
@@ -369,7 +368,7 @@
     }
 }
 
-TEST_CASE("a permit that lapsed while its request was prepared is not used")
+TEST_CASE("a permit that expires before its request is sent is not used")
 {
     quota_group group(6, {{"w", {40, 40}}});
     group.request("g0", "w", admission_kind::other, 700ms);
@@ -387,7 +386,7 @@
 }
 
 // Load pattern: a program calls many tools at once, more than the burst that its workspace has accumulated.
-TEST_CASE("a burst of a program under way waits for room, a new program is told at once when to come back")
+TEST_CASE("a burst of a program in progress waits for capacity; a new program is admitted or refused at once")
 {
     quota_group group(6, {{"w", {40, 40}}});
     const auto at = group.addresses();
@@ -425,7 +424,7 @@
     CHECK(complies_with_rule(group.sent["w"], {40, 40}, default_rule));
 }
 
-TEST_CASE("requests wait for holders that were all killed and are just starting again")
+TEST_CASE("requests wait for holders that were all killed and are restarting")
 {
     quota_group group(6, {{"w", {40, 40}}});
     for (const auto& it : group.addresses())
@@ -450,7 +449,7 @@
     CHECK(group.refused["w"][0].retry_after > 0ms);
 }
 
-TEST_CASE("a rate that goes down binds at once, one that ends binds nothing")
+TEST_CASE("a lower rate takes effect immediately")
 {
     quota_group group(6, {{"w", {40, 40}}});
     const auto at = group.addresses();
@@ -463,11 +462,11 @@
     CHECK(group.sent["w"].size() >= 80);
 }
 
-TEST_CASE("under kills, freezes, cuts, lost messages and outages, no window holds more than the rule allows")
+TEST_CASE("under kills, freezes, partitions, lost messages and outages, no window exceeds the rule")
 {
     const std::map<std::string, request_quota> quotas{
         {"large", {120, 120}}, {"small", {8, 8}}, {"flat", {20, 0}}};
-    rc::check("windows hold",
+    rc::check("all windows comply with the rule",
               [&quotas](const std::uint32_t seed)
               {
                   std::mt19937 random{seed};
--- a/tests/unit/test_gateway_turns.cpp
+++ b/tests/unit/test_gateway_turns.cpp
@@ -52,7 +52,7 @@
 
 } // namespace
 
-TEST_CASE("any gateway puts a chain together from the last turn's id, byte for byte")
+TEST_CASE("any gateway can load a chain by the id of its last turn, byte for byte")
 {
     turn_world world;
     using namespace std::string_literals;
@@ -74,7 +74,7 @@
     CHECK(world.store.queries == 3);
 }
 
-TEST_CASE("a turn that is not there is missing; one that can't be asked for is not")
+TEST_CASE("a turn that does not exist is missing; one that cannot be queried is unavailable")
 {
     turn_world world;
     REQUIRE(world.save("ab", {}, "in", "out\n"));
@@ -87,7 +87,7 @@
     CHECK(world.load(world.reader, "ab").outcome == chain_outcome::found);
 }
 
-TEST_CASE("a turn counts as kept only when the store has said so")
+TEST_CASE("a turn is reported as durable only after the store has confirmed it")
 {
     turn_world world;
     world.store.mode = store_mode::unresponsive;
@@ -96,7 +96,7 @@
     CHECK(world.load(world.writer, "a").outcome == chain_outcome::missing);
 }
 
-TEST_CASE("records are read as they were written; damaged ones are none")
+TEST_CASE("turn records round-trip, and malformed ones are rejected")
 {
     const turn_record turn{{{"x"}, {"y"}}, "input", std::string(900, 'o')};
     const auto chunks = encode_turn(turn, row_bytes);
@@ -109,7 +109,7 @@
     CHECK_FALSE(decode_turn({"\xa0"}));
 }
 
-TEST_CASE("memory for turns has a bound; the least recently used go first")
+TEST_CASE("the turn cache is bounded, and evicts the least recently used turns first")
 {
     turn_cache cache{3'000};
     const auto make = [] {
