--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -24,10 +24,10 @@
                                         "if (m_request.program && is_retained())")],
     "slack of affinity": [("src/gateway/target_choice.cpp", "affinity_slack = 1.0", "affinity_slack = 50.0")],
     "collectors": [("src/gateway/commit_router.cpp",
-                    "const auto collector = it.silences < most_silences",
-                    "const auto collector = it.silences < 0")],
-    "next collector in rank": [("src/gateway/commit_router.cpp", "        try_next(std::move(sent));",
-                                "        for (auto& it : sent) { it.silences = most_silences; }\n"
+                    "auto collector = it.unanswered_sends < max_unanswered_sends",
+                    "auto collector = it.unanswered_sends < 0")],
+    "next collector in rank": [("src/gateway/commit_router.cpp", "        route_refused(std::move(sent));",
+                                "        for (auto& it : sent) { it.unanswered_sends = max_unanswered_sends; }\n"
                                 "        route(std::move(sent));")],
     "own domain first": [("src/gateway/target_choice.cpp", "cross_domain_penalty = 0.5", "cross_domain_penalty = 0.05"),
                          ("src/gateway/target_choice.cpp", "if (!std::ranges::all_of(targets, is_cross_domain))", "if (false)")],
