--- a/include/masticcourse/gateway/commit_router.hpp
+++ b/include/masticcourse/gateway/commit_router.hpp
@@ -53,20 +53,20 @@
     /// The collector cannot reach the store directly and accepted no change.
     store_unreachable,
     /// No reply, or one that cannot be decoded: the changes may or may not have been written.
-    no_answer,
+    no_reply,
 };
 
 /// A collector's reply to one message.
-struct collector_answer
+struct collector_reply
 {
-    collector_outcome outcome = collector_outcome::no_answer;
+    collector_outcome outcome = collector_outcome::no_reply;
     /// Encoded results; empty unless the outcome is `collected`.
     std::string results;
     /// How long the collector has been unable to reach the store.
     milliseconds unreachable_for{};
 };
 
-using collector_callback = std::function<void(const collector_answer&)>;
+using collector_callback = std::function<void(const collector_reply&)>;
 /// Sends encoded changes to a collector.
 using collector_call = std::function<void(const std::string& address, std::string bytes, collector_callback)>;
 
@@ -85,7 +85,7 @@
     /// store: results that are not available by then are reported as unknown, and the sender resends those
     /// changes. Otherwise a slow store would look like an unresponsive collector, the senders would all write
     /// directly, and their load would keep the store slow.
-    /// @param on_done receives the results; `no_answer` if the message is empty or cannot be decoded
+    /// @param on_done receives the results; `no_reply` if the message is empty or cannot be decoded
     void collect(const std::string& bytes, collector_callback on_done);
 
   private:
@@ -120,10 +120,10 @@
     void route_refused(item_list refused);
     /// Routes the changes waiting in a failed collector's outbox again.
     void reroute(const std::string& collector);
-    void on_answer(const std::string& collector, item_list sent, const collector_answer& answer);
+    void on_reply(const std::string& collector, item_list sent, const collector_reply& reply);
     void on_results(item_list sent, const std::vector<change_result>& results);
-    /// Handles a collector that did not process the changes; @a answer gives the reason.
-    void on_failure(const std::string& collector, item_list sent, const collector_answer& answer);
+    /// Handles a collector that did not process the changes; @a reply gives the reason.
+    void on_failure(const std::string& collector, item_list sent, const collector_reply& reply);
     void resend_later(item it);
 
     commit_sink& m_own;
--- a/include/masticcourse/gateway/peer_directory.hpp
+++ b/include/masticcourse/gateway/peer_directory.hpp
@@ -95,12 +95,12 @@
     {
         /// Consecutive requests without a response.
         std::uint32_t failures = 0;
-        time_point silent_until{};
+        time_point unresponsive_until{};
         time_point store_excluded_until{};
     };
 
     /// @return whether the peer is excluded because it did not respond
-    [[nodiscard]] bool silent(const std::string& address, time_point now) const;
+    [[nodiscard]] bool unresponsive(const std::string& address, time_point now) const;
     /// @return whether the peer is excluded because it did not respond or could not reach the store
     [[nodiscard]] bool excluded(const std::string& address, time_point now) const;
     template <typename Predicate>
--- a/include/masticcourse/gateway/quota/workspace_quotas.hpp
+++ b/include/masticcourse/gateway/quota/workspace_quotas.hpp
@@ -60,10 +60,10 @@
 {
   public:
     /// @param clock       used for the slices held by this gateway
-    /// @param awake_clock keeps running while the VM is suspended; used for permits
+    /// @param boottime_clock keeps running while the VM is suspended; used for permits
     workspace_quotas(quota_options options, bucket_ownership& buckets, const peer_directory& peers,
-                     peer_call call, delay_function delay, clock_function clock, clock_function awake_clock,
-                     metrics_registry& metrics);
+                     peer_call call, delay_function delay, clock_function clock,
+                     clock_function boottime_clock, metrics_registry& metrics);
 
     void set_config(config_ptr config);
 
@@ -75,7 +75,7 @@
     /// @return whether a permit may still be used
     [[nodiscard]] bool valid(const quota_permit& permit) const
     {
-        return m_awake_clock() < permit.expires;
+        return m_boottime_clock() < permit.expires;
     }
 
     /// Handles a grant request from a peer.
@@ -155,7 +155,7 @@
     peer_call m_call;
     delay_function m_delay;
     clock_function m_clock;
-    clock_function m_awake_clock;
+    clock_function m_boottime_clock;
     metrics_registry& m_metrics;
     config_ptr m_config;
     std::unordered_map<workspace_id, account> m_accounts;
--- a/include/masticcourse/gateway/route_table.hpp
+++ b/include/masticcourse/gateway/route_table.hpp
@@ -68,7 +68,7 @@
         return kind == request_kind::idempotent || (kind == request_kind::stream && resumable);
     }
 
-    [[nodiscard]] bool keeps_turns() const
+    [[nodiscard]] bool retains_turns() const
     {
         return retention.has_value();
     }
--- a/src/gateway/commit_router.cpp
+++ b/src/gateway/commit_router.cpp
@@ -171,16 +171,16 @@
     std::vector<routed_change> changes;
     std::ranges::transform(*sent, std::back_inserter(changes), &item::change);
     m_call(collector, encode_changes(changes, m_clock()),
-           [this, collector, sent](const collector_answer& answer)
-           { on_answer(collector, std::move(*sent), answer); });
+           [this, collector, sent](const collector_reply& reply)
+           { on_reply(collector, std::move(*sent), reply); });
 }
 
-void commit_router::on_answer(const std::string& collector, item_list sent, const collector_answer& answer)
+void commit_router::on_reply(const std::string& collector, item_list sent, const collector_reply& reply)
 {
     --m_outboxes[collector].in_flight;
     m_forwarded -= sent.size();
-    const bool collected = answer.outcome == collector_outcome::collected;
-    const auto results = collected ? decode_results(answer.results) : std::nullopt;
+    const bool collected = reply.outcome == collector_outcome::collected;
+    const auto results = collected ? decode_results(reply.results) : std::nullopt;
     if (results && results->size() == sent.size())
     {
         m_peers.answered(collector);
@@ -189,7 +189,7 @@
     }
     else
     {
-        on_failure(collector, std::move(sent), answer);
+        on_failure(collector, std::move(sent), reply);
     }
     send(collector);
 }
@@ -224,7 +224,7 @@
             });
 }
 
-void commit_router::on_failure(const std::string& collector, item_list sent, const collector_answer& answer)
+void commit_router::on_failure(const std::string& collector, item_list sent, const collector_reply& reply)
 {
     if (!m_store.reachable())
     {
@@ -233,13 +233,13 @@
         std::ranges::for_each(sent, [this](item& it) { defer(std::move(it)); });
         return;
     }
-    const bool store_unreachable = answer.outcome == collector_outcome::store_unreachable;
+    const bool store_unreachable = reply.outcome == collector_outcome::store_unreachable;
     log_event(event_id::collector_failed, {{"collector", collector},
                                            {"why", store_unreachable ? "it lacks the store" : "no answer"},
                                            {"changes", std::to_string(sent.size())}});
     if (store_unreachable)
     {
-        m_peers.mark_store_unreachable(collector, m_clock(), answer.unreachable_for);
+        m_peers.mark_store_unreachable(collector, m_clock(), reply.unreachable_for);
         route_refused(std::move(sent));
     }
     else
@@ -266,7 +266,7 @@
     auto changes = decode_changes(bytes, now);
     if (!changes || changes->empty())
     {
-        on_done({.outcome = collector_outcome::no_answer});
+        on_done({.outcome = collector_outcome::no_reply});
         return;
     }
     if (const auto cut_off_for = m_store.direct_path_down_for())
--- a/src/gateway/forwarded_request.cpp
+++ b/src/gateway/forwarded_request.cpp
@@ -167,7 +167,7 @@
 
 bool forwarded_request::is_retained() const
 {
-    return is_stream() && m_route->keeps_turns();
+    return is_stream() && m_route->retains_turns();
 }
 
 std::optional<request_id> forwarded_request::previous_turn() const
--- a/src/gateway/forwarded_request.hpp
+++ b/src/gateway/forwarded_request.hpp
@@ -94,7 +94,7 @@
     void on_not_executed();
     void on_response_lost(std::string_view reason);
     void on_complete_response(http_client_reply reply);
-    void end_attempt(health_signal verdict);
+    void end_attempt(health_signal signal);
     [[nodiscard]] bool can_retry() const;
     /// @}
 
--- a/src/gateway/forwarded_request_answer.cpp
+++ b/src/gateway/forwarded_request_answer.cpp
@@ -43,9 +43,9 @@
                      .output = m_progress->event_data(),
                      .domain = m_last_domain};
     m_services.turns.save(turn_id(), std::move(turn), m_deadline,
-                          [self = shared_from_this()](bool kept)
+                          [self = shared_from_this()](bool stored)
                           {
-                              self->m_turn_durable = kept;
+                              self->m_turn_durable = stored;
                               self->finish_stream();
                           });
 }
--- a/src/gateway/forwarded_request_attempts.cpp
+++ b/src/gateway/forwarded_request_attempts.cpp
@@ -181,14 +181,14 @@
     }
 }
 
-void forwarded_request::end_attempt(health_signal verdict)
+void forwarded_request::end_attempt(health_signal signal)
 {
     if (m_target)
     {
-        m_services.targets.end(m_target->instance(), verdict, m_services.clock());
+        m_services.targets.end(m_target->instance(), signal, m_services.clock());
         m_target.reset();
     }
-    if (verdict == health_signal::failed)
+    if (signal == health_signal::failed)
     {
         // The request may have been executed under this permit; another execution needs a new one.
         m_permit.reset();
@@ -295,14 +295,14 @@
 void forwarded_request::log_retry(std::string_view reason) const
 {
     const auto now = m_services.clock();
-    const auto* const row = m_services.targets.find(m_target->id);
+    const auto* const entry = m_services.targets.find(m_target->id);
     log_event(event_id::attempt_failed,
               {{"request", m_request.id.value},
                {"target", m_target->id.value},
                {"why", std::string{reason}},
                {"attempt", std::to_string(m_attempt_count)},
                {"of", std::to_string(m_route->max_attempts)},
-               {"target_load", row != nullptr ? std::to_string(row->load(now)) : "gone"},
+               {"target_load", entry != nullptr ? std::to_string(entry->load(now)) : "gone"},
                {"left_ms", std::to_string(time_left().count())}});
 }
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -104,8 +104,8 @@
       local_commits(store, delay, monotonic_now, options.cache_bytes / row_cache_divisor),
       commits(
           local_commits, store, peers,
-          [this](const auto& address, auto bytes, auto on_answer)
-          { peer_client.collect(address, std::move(bytes), std::move(on_answer)); },
+          [this](const auto& address, auto bytes, auto on_reply)
+          { peer_client.collect(address, std::move(bytes), std::move(on_reply)); },
           delay, monotonic_now),
       shared_rows(
           store, local_commits.cached_rows(), peers,
@@ -118,15 +118,15 @@
                         {options.peer_address, random_incarnation()}, delay, monotonic_now, boot_time_now),
       overdrafts(
           overdraft_buckets,
-          [this](const auto& address, auto message, auto on_answer)
-          { peer_client.overdraft(address, std::move(message), std::move(on_answer)); },
+          [this](const auto& address, auto message, auto on_reply)
+          { peer_client.overdraft(address, std::move(message), std::move(on_reply)); },
           monotonic_now),
       quota_buckets(quota_ownership_terms(), store, peers, {options.peer_address, random_incarnation()},
                     delay, monotonic_now, boot_time_now),
       quotas(
           {.rule = options.quota}, quota_buckets, peers,
-          [this](const auto& address, auto question, auto on_answer)
-          { peer_client.quota(address, std::move(question), std::move(on_answer)); },
+          [this](const auto& address, auto request, auto on_reply)
+          { peer_client.quota(address, std::move(request), std::move(on_reply)); },
           delay, monotonic_now, boot_time_now, registry),
       services{.open_stream = [this](auto request, auto on_chunk, auto on_reply)
                { return client.open_stream(std::move(request), std::move(on_chunk), std::move(on_reply)); },
@@ -399,8 +399,8 @@
 
 void gateway::serve_commits(const http_request& request, const std::shared_ptr<http_exchange>& exchange)
 {
-    m_state->commits.collect(request.body, [exchange](const collector_answer& answer)
-                             { exchange->respond(detail::to_response(answer)); });
+    m_state->commits.collect(request.body, [exchange](const collector_reply& reply)
+                             { exchange->respond(detail::to_response(reply)); });
 }
 
 void gateway::serve_row_lookup(const http_request& request, const std::shared_ptr<http_exchange>& exchange)
--- a/src/gateway/overdraft.cpp
+++ b/src/gateway/overdraft.cpp
@@ -54,9 +54,9 @@
         return;
     }
     m_call(*holder, encode(message),
-           [complete](const std::optional<std::string>& answer)
+           [complete](const std::optional<std::string>& reply)
            {
-               const auto granted = answer ? decode_grant(*answer) : std::nullopt;
+               const auto granted = reply ? decode_grant(*reply) : std::nullopt;
                complete(granted.value_or(0));
            });
 }
--- a/src/gateway/peer_calls.cpp
+++ b/src/gateway/peer_calls.cpp
@@ -47,7 +47,7 @@
     return milliseconds{text ? std::atoll(text->c_str()) : 0};
 }
 
-collector_answer to_collector_answer(http_client_reply reply)
+collector_reply to_collector_reply(http_client_reply reply)
 {
     if (reply.failure != http_failure::none)
     {
@@ -67,25 +67,25 @@
 
 } // namespace
 
-void peer_calls::collect(const std::string& address, std::string changes, collector_callback on_answer)
+void peer_calls::collect(const std::string& address, std::string changes, collector_callback on_reply)
 {
     auto request = make_request(address, gateway::commit_path, std::move(changes));
     request.timeout = collect_timeout;
     request.connect_timeout = collect_connect_timeout;
-    m_client.send(std::move(request), [on_answer = std::move(on_answer)](http_client_reply reply)
-                  { on_answer(to_collector_answer(std::move(reply))); });
+    m_client.send(std::move(request), [on_reply = std::move(on_reply)](http_client_reply reply)
+                  { on_reply(to_collector_reply(std::move(reply))); });
 }
 
-void peer_calls::send_idempotent(http_client_request request, milliseconds timeout, peer_callback on_answer)
+void peer_calls::send_idempotent(http_client_request request, milliseconds timeout, peer_callback on_reply)
 {
     request.timeout = timeout;
     request.connect_timeout = timeout;
     request.idempotent = true;
     m_client.send(std::move(request),
-                  [on_answer = std::move(on_answer)](http_client_reply reply)
+                  [on_reply = std::move(on_reply)](http_client_reply reply)
                   {
                       const bool read = reply.failure == http_failure::none && reply.status == status_ok;
-                      on_answer(read ? std::optional{std::move(reply.body)} : std::nullopt);
+                      on_reply(read ? std::optional{std::move(reply.body)} : std::nullopt);
                   });
 }
 
@@ -103,41 +103,41 @@
                     });
 }
 
-void peer_calls::overdraft(const std::string& address, std::string message, peer_callback on_answer)
+void peer_calls::overdraft(const std::string& address, std::string message, peer_callback on_reply)
 {
     send_idempotent(make_request(address, gateway::overdraft_path, std::move(message)), holder_timeout,
-                    std::move(on_answer));
+                    std::move(on_reply));
 }
 
-void peer_calls::quota(const std::string& address, std::string question, peer_callback on_answer)
+void peer_calls::quota(const std::string& address, std::string request, peer_callback on_reply)
 {
-    send_idempotent(make_request(address, gateway::quota_path, std::move(question)), holder_timeout,
-                    std::move(on_answer));
+    send_idempotent(make_request(address, gateway::quota_path, std::move(request)), holder_timeout,
+                    std::move(on_reply));
 }
 
-http_response to_response(const collector_answer& answer)
+http_response to_response(const collector_reply& reply)
 {
-    switch (answer.outcome)
+    switch (reply.outcome)
     {
     case collector_outcome::collected:
-        return {.status = status_ok, .content_type = "application/cbor", .body = answer.results};
+        return {.status = status_ok, .content_type = "application/cbor", .body = reply.results};
     case collector_outcome::store_unreachable:
         return {.status = status_store_unreachable,
                 .body = "{}",
-                .headers = {{unreachable_for_header, std::to_string(answer.unreachable_for.count())}}};
-    case collector_outcome::no_answer:
+                .headers = {{unreachable_for_header, std::to_string(reply.unreachable_for.count())}}};
+    case collector_outcome::no_reply:
         break;
     }
     return {.status = status_bad_request, .body = "{}"};
 }
 
-http_response to_response(std::optional<std::string> answer)
+http_response to_response(std::optional<std::string> reply)
 {
-    if (!answer)
+    if (!reply)
     {
         return {.status = status_bad_request, .body = "{}"};
     }
-    return {.status = status_ok, .content_type = "application/cbor", .body = std::move(*answer)};
+    return {.status = status_ok, .content_type = "application/cbor", .body = std::move(*reply)};
 }
 
 } // namespace masticcourse::gateway::detail
--- a/src/gateway/peer_calls.hpp
+++ b/src/gateway/peer_calls.hpp
@@ -19,23 +19,23 @@
   public:
     explicit peer_calls(boost::asio::io_context& context) : m_client(context) {}
 
-    void collect(const std::string& address, std::string changes, collector_callback on_answer);
+    void collect(const std::string& address, std::string changes, collector_callback on_reply);
     void query_rows(const std::string& address, std::string query, peer_callback on_rows);
-    void overdraft(const std::string& address, std::string message, peer_callback on_answer);
-    void quota(const std::string& address, std::string question, peer_callback on_answer);
+    void overdraft(const std::string& address, std::string message, peer_callback on_reply);
+    void quota(const std::string& address, std::string request, peer_callback on_reply);
 
   private:
     /// Sends a request that may safely be repeated.
-    void send_idempotent(http_client_request request, milliseconds timeout, peer_callback on_answer);
+    void send_idempotent(http_client_request request, milliseconds timeout, peer_callback on_reply);
 
     http_client m_client;
 };
 
 /// @name Server side
 /// @{
-[[nodiscard]] http_response to_response(const collector_answer& answer);
-/// @param answer nothing if the request could not be decoded
-[[nodiscard]] http_response to_response(std::optional<std::string> answer);
+[[nodiscard]] http_response to_response(const collector_reply& reply);
+/// @param reply nothing if the request could not be decoded
+[[nodiscard]] http_response to_response(std::optional<std::string> reply);
 /// @}
 
 } // namespace masticcourse::gateway::detail
--- a/src/gateway/peer_directory.cpp
+++ b/src/gateway/peer_directory.cpp
@@ -80,17 +80,17 @@
     return std::max(minimum, gateways * per_gateway);
 }
 
-bool peer_directory::silent(const std::string& address, time_point now) const
+bool peer_directory::unresponsive(const std::string& address, time_point now) const
 {
     const auto it = m_exclusions.find(address);
-    return it != m_exclusions.end() && it->second.silent_until > now;
+    return it != m_exclusions.end() && it->second.unresponsive_until > now;
 }
 
 bool peer_directory::excluded(const std::string& address, time_point now) const
 {
     const auto it = m_exclusions.find(address);
     return it != m_exclusions.end() &&
-           std::max(it->second.silent_until, it->second.store_excluded_until) > now;
+           std::max(it->second.unresponsive_until, it->second.store_excluded_until) > now;
 }
 
 std::vector<std::string> peer_directory::choose(std::size_t max_count, time_point now,
@@ -122,7 +122,7 @@
                                                                     time_point now) const
 {
     return highest_ranked(
-        partition, [&](const std::string& address) { return silent(address, now); }, false);
+        partition, [&](const std::string& address) { return unresponsive(address, now); }, false);
 }
 
 template <typename Predicate>
@@ -154,8 +154,8 @@
 void peer_directory::mark_store_unreachable(const std::string& address, time_point now,
                                             duration unreachable_for)
 {
-    const duration pause = unreachable_for / store_exclusion_divisor;
-    const auto bounded = std::clamp<duration>(pause, min_store_exclusion, max_store_exclusion);
+    const duration exclusion_time = unreachable_for / store_exclusion_divisor;
+    const auto bounded = std::clamp<duration>(exclusion_time, min_store_exclusion, max_store_exclusion);
     m_exclusions[address] = {.store_excluded_until = now + bounded};
 }
 
@@ -172,7 +172,7 @@
     const auto it = m_exclusions.find(address);
     if (it != m_exclusions.end() && it->second.failures > 0)
     {
-        it->second.silent_until = now + probe_timeout;
+        it->second.unresponsive_until = now + probe_timeout;
     }
 }
 
@@ -180,10 +180,10 @@
 {
     auto& it = m_exclusions[address];
     constexpr std::uint32_t max_exclusion_shift = 4;
-    const auto pause =
+    const auto exclusion_time =
         std::min(initial_exclusion * (1 << std::min(it.failures, max_exclusion_shift)), max_exclusion);
     ++it.failures;
-    it.silent_until = now + pause;
+    it.unresponsive_until = now + exclusion_time;
 }
 
 } // namespace masticcourse::gateway
--- a/src/gateway/quota/workspace_quotas.cpp
+++ b/src/gateway/quota/workspace_quotas.cpp
@@ -61,10 +61,10 @@
 
 workspace_quotas::workspace_quotas(quota_options options, bucket_ownership& buckets,
                                    const peer_directory& peers, peer_call call, delay_function delay,
-                                   clock_function clock, clock_function awake_clock,
+                                   clock_function clock, clock_function boottime_clock,
                                    metrics_registry& metrics)
     : m_options(options), m_buckets(buckets), m_peers(peers), m_call(std::move(call)),
-      m_delay(std::move(delay)), m_clock(std::move(clock)), m_awake_clock(std::move(awake_clock)),
+      m_delay(std::move(delay)), m_clock(std::move(clock)), m_boottime_clock(std::move(boottime_clock)),
       m_metrics(metrics)
 {
 }
@@ -100,7 +100,7 @@
 
 void workspace_quotas::acquire(const workspace& owner, admission_kind kind, quota_callback on_result)
 {
-    const auto now = m_awake_clock();
+    const auto now = m_boottime_clock();
     auto& it = m_accounts.try_emplace(owner.name, now).first->second;
     if (kind == admission_kind::other)
     {
@@ -124,7 +124,7 @@
 
 void workspace_quotas::grant_waiting(account& it)
 {
-    const auto now = m_awake_clock();
+    const auto now = m_boottime_clock();
     std::vector<std::pair<quota_callback, quota_permit>> served;
     std::erase_if(it.waiting,
                   [&](waiting_request& one)
@@ -170,7 +170,7 @@
         if (eligible != request_counts{} && reachable({name, slice}))
         {
             const auto prefetch =
-                eligible.others > 0 ? it.demand.expected(prefetch_window, m_awake_clock()) : 0;
+                eligible.others > 0 ? it.demand.expected(prefetch_window, m_boottime_clock()) : 0;
             return grant_request{.slice = {name, slice},
                                  .demand = {.waiting = eligible, .prefetch = prefetch}};
         }
@@ -188,7 +188,7 @@
 request_counts workspace_quotas::without_backoff(const account& it, std::size_t slice,
                                                  const request_counts& waiting) const
 {
-    const auto now = m_awake_clock();
+    const auto now = m_boottime_clock();
     const auto count = [&](admission_kind kind)
     { return it.backoffs.backed_off(slice, kind, now) ? 0U : waiting.of(kind); };
     return {.starts = count(admission_kind::start), .others = count(admission_kind::other)};
@@ -207,7 +207,7 @@
         return false;
     }
     const auto excluded = m_excluded_until.find(*holder);
-    return excluded == m_excluded_until.end() || excluded->second <= m_awake_clock();
+    return excluded == m_excluded_until.end() || excluded->second <= m_boottime_clock();
 }
 
 std::vector<std::size_t> workspace_quotas::slice_order(const workspace_id& name, const account& it,
@@ -226,7 +226,7 @@
 
 void workspace_quotas::send_request(const grant_request& request, const slice_limits& limits)
 {
-    const auto sent_at = m_awake_clock();
+    const auto sent_at = m_boottime_clock();
     const auto bucket = quota_bucket_of(request.slice);
     if (m_buckets.holds(bucket))
     {
@@ -250,7 +250,7 @@
 void workspace_quotas::exclude_holder(const std::string& holder, const workspace_id& name, bool responded)
 {
     const auto backoff = responded ? not_holder_backoff : unresponsive_backoff;
-    m_excluded_until[holder] = m_awake_clock() + backoff;
+    m_excluded_until[holder] = m_boottime_clock() + backoff;
     log_event(event_id::quota_holder_failed, {{"holder", holder},
                                               {"workspace", name.value},
                                               {"why", responded ? "not the slice holder" : "no answer"},
@@ -273,7 +273,7 @@
             {
                 const auto wait = std::max(grant->retry_after_for(kind),
                                            m_peers.scaled_interval(min_backoff, backoff_per_gateway));
-                it.backoffs.back_off(request.slice.index, kind, m_awake_clock() + wait);
+                it.backoffs.back_off(request.slice.index, kind, m_boottime_clock() + wait);
             }
         }
     }
@@ -281,9 +281,9 @@
     {
         // This gateway held the slice when the request was made and has given it up since.
         it.backoffs.back_off(request.slice.index, admission_kind::start,
-                             m_awake_clock() + not_holder_backoff);
+                             m_boottime_clock() + not_holder_backoff);
         it.backoffs.back_off(request.slice.index, admission_kind::other,
-                             m_awake_clock() + not_holder_backoff);
+                             m_boottime_clock() + not_holder_backoff);
     }
     // Callbacks may acquire again and must not send another grant request meanwhile.
     it.request_in_flight = true;
@@ -297,7 +297,7 @@
 
 void workspace_quotas::wait_or_refuse(const workspace_id& name, account& it, const slice_limits& limits)
 {
-    const auto now = m_awake_clock();
+    const auto now = m_boottime_clock();
     const auto can_wait = [&](const waiting_request& one)
     {
         const auto retry_at = it.backoffs.earliest_retry(one.kind, now);
@@ -347,7 +347,7 @@
 void workspace_quotas::admit_waiting(account& it)
 {
     const auto released = std::exchange(it.waiting, {});
-    const quota_permit permit{.expires = m_awake_clock() + m_options.max_wait};
+    const quota_permit permit{.expires = m_boottime_clock() + m_options.max_wait};
     std::ranges::for_each(released, [&](const auto& one) { one.on_result(permit); });
 }
 
@@ -355,7 +355,7 @@
                               std::optional<time_point> retry_at)
 {
     const auto wait =
-        retry_at ? std::chrono::ceil<milliseconds>(*retry_at - m_awake_clock()) : no_holder_retry_after;
+        retry_at ? std::chrono::ceil<milliseconds>(*retry_at - m_boottime_clock()) : no_holder_retry_after;
     m_metrics
         .get_counter("masticcourse_quota_refusals_total", "Requests without a permit, by reason.",
                      {{"reason", retry_at ? "used_up" : "no_holder"},
--- a/src/gateway/target_table.cpp
+++ b/src/gateway/target_table.cpp
@@ -40,19 +40,19 @@
 
 bool target_table::put(const target_record& record)
 {
-    auto& row = m_targets[record.id];
-    if (record.started < row.record.started)
+    auto& entry = m_targets[record.id];
+    if (record.started < entry.record.started)
     {
         return false;
     }
-    const bool changed = row.record != record;
-    if (record.started > row.record.started)
+    const bool changed = entry.record != record;
+    if (record.started > entry.record.started)
     {
-        row = {};
+        entry = {};
     }
-    row.replaced = row.replaced && !changed;
-    row.record = record;
-    row.expires_at.reset();
+    entry.replaced = entry.replaced && !changed;
+    entry.record = record;
+    entry.expires_at.reset();
     return changed;
 }
 
@@ -78,7 +78,7 @@
 void target_table::retain(const std::vector<target_id>& present, time_point now, milliseconds grace)
 {
     const std::unordered_set<target_id> present_ids(present.begin(), present.end());
-    for (auto& [id, row] : m_targets)
+    for (auto& [id, entry] : m_targets)
     {
         if (!present_ids.contains(id))
         {
@@ -89,11 +89,11 @@
 
 void target_table::extend_grace(duration time)
 {
-    for (auto& [id, row] : m_targets)
+    for (auto& [id, entry] : m_targets)
     {
-        if (row.expires_at)
+        if (entry.expires_at)
         {
-            *row.expires_at += time;
+            *entry.expires_at += time;
         }
     }
 }
@@ -101,9 +101,9 @@
 std::vector<target_id> target_table::expire(time_point now)
 {
     std::vector<target_id> expired;
-    for (const auto& [id, row] : m_targets)
+    for (const auto& [id, entry] : m_targets)
     {
-        if (row.expires_at && *row.expires_at <= now)
+        if (entry.expires_at && *entry.expires_at <= now)
         {
             expired.push_back(id);
         }
@@ -120,9 +120,9 @@
 
 void target_table::begin(const target_instance& instance)
 {
-    if (auto* const row = find_instance(instance))
+    if (auto* const entry = find_instance(instance))
     {
-        ++row->in_flight;
+        ++entry->in_flight;
     }
 }
 
@@ -133,45 +133,45 @@
     {
         return;
     }
-    auto& row = *found;
-    row.in_flight -= row.in_flight > 0 ? 1 : 0;
+    auto& entry = *found;
+    entry.in_flight -= entry.in_flight > 0 ? 1 : 0;
     if (signal == health_signal::healthy || signal == health_signal::refused)
     {
-        row.failures = 0;
-        row.backoff_until = {};
+        entry.failures = 0;
+        entry.backoff_until = {};
     }
     else if (signal == health_signal::replaced)
     {
-        row.replaced = true;
+        entry.replaced = true;
     }
     else if (signal != health_signal::none)
     {
         // A failed answer may be a transient error, which a few percent of requests meet at worst,
         // or the target may be going down. Avoiding it for 250 ms costs nothing in the first case, and in the
         // second it protects requests that can't be retried.
-        ++row.failures;
-        row.backoff_until = now + backoff_after(row.failures);
+        ++entry.failures;
+        entry.backoff_until = now + backoff_after(entry.failures);
     }
 }
 
 void target_table::report(const target_instance& instance, const target_load_report& load, time_point now)
 {
-    if (auto* const row = find_instance(instance))
+    if (auto* const entry = find_instance(instance))
     {
         const auto total = load.running + load.waiting;
-        row->external_load = total - std::min(total, row->in_flight);
-        row->reported_at = now;
+        entry->external_load = total - std::min(total, entry->in_flight);
+        entry->reported_at = now;
     }
 }
 
 std::vector<const target*> target_table::candidates(const service_name& service) const
 {
     std::vector<const target*> found;
-    for (const auto& [id, row] : m_targets)
+    for (const auto& [id, entry] : m_targets)
     {
-        if (row.record.service == service && !row.record.draining && !row.replaced)
+        if (entry.record.service == service && !entry.record.draining && !entry.replaced)
         {
-            found.push_back(&row);
+            found.push_back(&entry);
         }
     }
     std::ranges::sort(found, {}, [](const target* it) -> const auto& { return it->record.id; });
--- a/tests/support/quota_group.cpp
+++ b/tests/support/quota_group.cpp
@@ -46,7 +46,7 @@
           owner.delays_for(*this), [this] { return group.time.now() - frozen_total; }, owner.time.clock()),
       quotas(
           {.rule = owner.rule, .policy = owner.m_policy}, buckets, peers,
-          [this](const auto& to, auto bytes, auto on_answer) { group.call(address, to, bytes, on_answer); },
+          [this](const auto& to, auto bytes, auto on_reply) { group.call(address, to, bytes, on_reply); },
           owner.delays_for(*this), [this] { return group.time.now() - frozen_total; }, owner.time.clock(),
           metrics),
       cores(member_cores)
@@ -168,16 +168,16 @@
 }
 
 void quota_group::call(const std::string& from, const std::string& to, const std::string& bytes,
-                       const gateway::peer_callback& on_answer)
+                       const gateway::peer_callback& on_reply)
 {
     ++messages;
     auto* const sender = &at(from);
     const auto answered = std::make_shared<bool>(false);
-    const auto answer = [answered, sender, on_answer](const std::optional<std::string>& text)
+    const auto answer = [answered, sender, on_reply](const std::optional<std::string>& text)
     {
         if (!std::exchange(*answered, true) && !sender->stopped)
         {
-            on_answer(text);
+            on_reply(text);
         }
     };
     delays_for (*sender)(message_timeout, [answer] { answer(std::nullopt); });
--- a/tests/support/quota_group.hpp
+++ b/tests/support/quota_group.hpp
@@ -87,7 +87,7 @@
 
   private:
     void call(const std::string& from, const std::string& to, const std::string& bytes,
-              const gateway::peer_callback& on_answer);
+              const gateway::peer_callback& on_reply);
     [[nodiscard]] bool drops_message();
     /// Members are never moved, nor destroyed before the group.
     [[nodiscard]] gateway::delay_function delays_for(const member& it);
--- a/tests/unit/test_gateway_collected_rows.cpp
+++ b/tests/unit/test_gateway_collected_rows.cpp
@@ -38,8 +38,8 @@
               own(store, world.time.delays(), world.time.clock()),
               commits(
                   own, store, peers,
-                  [&world](const auto& to, const auto& bytes, const auto& on_answer)
-                  { world.collect(to, bytes, on_answer); },
+                  [&world](const auto& to, const auto& bytes, const auto& on_reply)
+                  { world.collect(to, bytes, on_reply); },
                   world.time.delays(), world.time.clock()),
               shared(
                   store, own.cached_rows(), peers,
@@ -70,16 +70,16 @@
         }
     }
 
-    void collect(const std::string& to, const std::string& bytes, const collector_callback& on_answer)
+    void collect(const std::string& to, const std::string& bytes, const collector_callback& on_reply)
     {
-        time.delays()(1ms, [this, to, bytes, on_answer]
-                      { members[std::stoul(to)]->commits.collect(bytes, on_answer); });
+        time.delays()(1ms, [this, to, bytes, on_reply]
+                      { members[std::stoul(to)]->commits.collect(bytes, on_reply); });
     }
 
     void query_rows(const std::string& to, const std::string& bytes, const peer_callback& on_rows)
     {
         const auto answer = [this, to, bytes, on_rows]
-        { on_rows(silent ? std::nullopt : members[std::stoul(to)]->shared.read_cached(bytes)); };
+        { on_rows(unresponsive ? std::nullopt : members[std::stoul(to)]->shared.read_cached(bytes)); };
         time.delays()(1ms, answer);
     }
 
@@ -139,29 +139,29 @@
     virtual_time time;
     row_table rows;
     std::array<std::unique_ptr<member>, 3> members;
-    bool silent = false;
+    bool unresponsive = false;
 };
 
 } // namespace
 
 TEST_CASE("the row cache returns the newest versions, also by key range, and stays within its capacity")
 {
-    row_cache memory{1'000};
-    memory.put({{"t", "a"}, "new", 7});
-    memory.put({{"t", "a"}, "old", 3});
-    REQUIRE(memory.find({"t", "a"}) != nullptr);
-    CHECK(memory.find({"t", "a"})->value == "new");
-    memory.put({{"t", "a~1"}, "more", 8});
-    memory.put({{"u", "a"}, "elsewhere", 9});
-    CHECK(memory.range("t", "a", "a~~").size() == 2);
-    CHECK(memory.range("t", "b", "c").empty());
+    row_cache cache{1'000};
+    cache.put({{"t", "a"}, "new", 7});
+    cache.put({{"t", "a"}, "old", 3});
+    REQUIRE(cache.find({"t", "a"}) != nullptr);
+    CHECK(cache.find({"t", "a"})->value == "new");
+    cache.put({{"t", "a~1"}, "more", 8});
+    cache.put({{"u", "a"}, "elsewhere", 9});
+    CHECK(cache.range("t", "a", "a~~").size() == 2);
+    CHECK(cache.range("t", "b", "c").empty());
     for (int n = 0; n < 100; ++n)
     {
-        memory.put({{"t", "k" + std::to_string(n)}, "v", 10});
-        CHECK(memory.bytes() <= 1'000);
+        cache.put({{"t", "k" + std::to_string(n)}, "v", 10});
+        CHECK(cache.bytes() <= 1'000);
     }
-    CHECK(memory.find({"t", "a"}) == nullptr);
-    CHECK(memory.find({"t", "k99"}) != nullptr);
+    CHECK(cache.find({"t", "a"}) == nullptr);
+    CHECK(cache.find({"t", "k99"}) != nullptr);
 }
 
 // Load pattern: during a global store outage, retries of callers reach gateways that have not served their
@@ -211,7 +211,7 @@
     CHECK(world.queries() == before);
     CHECK(world.load(1, "never").outcome == chain_outcome::missing);
     CHECK(world.queries() == before + 1);
-    world.silent = true;
+    world.unresponsive = true;
     CHECK(world.load(2, "a").outcome == chain_outcome::found);
     CHECK(world.queries() >= before + 1);
 }
@@ -241,7 +241,7 @@
 TEST_CASE("a collector that does not reply to reads remains the collector")
 {
     peer_read_world world;
-    world.silent = true;
+    world.unresponsive = true;
     for (auto& it : world.members)
     {
         const auto collector = [&]
--- a/tests/unit/test_gateway_commits.cpp
+++ b/tests/unit/test_gateway_commits.cpp
@@ -28,9 +28,9 @@
     std::vector<change_result> results;
 
     void put(const std::string& key, std::optional<row_version> expected = std::nullopt,
-             milliseconds life = 10s)
+             milliseconds lifetime = 10s)
     {
-        row_change change{.puts = {{{"t", key}, "value of " + key}}, .expires = time.now() + life};
+        row_change change{.puts = {{{"t", key}, "value of " + key}}, .expires = time.now() + lifetime};
         if (expected)
         {
             change.condition = row_condition{{"t", key}, *expected};
--- a/tests/unit/test_gateway_overdraft.cpp
+++ b/tests/unit/test_gateway_overdraft.cpp
@@ -40,8 +40,8 @@
                       group.time.clock(), group.time.clock()),
               overdrafts(
                   buckets,
-                  [&group](const auto& to, auto message, auto on_answer)
-                  { group.call(to, message, on_answer); },
+                  [&group](const auto& to, auto message, auto on_reply)
+                  { group.call(to, message, on_reply); },
                   group.time.clock())
         {
             buckets.start();
@@ -93,11 +93,11 @@
     }
 
     void call(const std::string& to, const std::string& message,
-              const std::function<void(std::optional<std::string>)>& on_answer)
+              const std::function<void(std::optional<std::string>)>& on_reply)
     {
         const auto it = members.find(to);
-        on_answer(it != members.end() && !unreachable.contains(to) ? it->second->overdrafts.serve(message)
-                                                                   : std::nullopt);
+        on_reply(it != members.end() && !unreachable.contains(to) ? it->second->overdrafts.serve(message)
+                                                                  : std::nullopt);
     }
 
     token_count draw(const std::string& at, const std::string& program, const std::string& request,
--- a/tests/unit/test_gateway_peers.cpp
+++ b/tests/unit/test_gateway_peers.cpp
@@ -46,8 +46,8 @@
               own(store, world.time.delays(), world.time.clock()),
               router(
                   own, store, peers,
-                  [&world](const std::string& to, std::string bytes, collector_callback on_answer)
-                  { world.call(to, std::move(bytes), std::move(on_answer)); },
+                  [&world](const std::string& to, std::string bytes, collector_callback on_reply)
+                  { world.call(to, std::move(bytes), std::move(on_reply)); },
                   world.time.delays(), world.time.clock())
         {
         }
@@ -66,16 +66,16 @@
         }
     }
 
-    void call(const std::string& to, std::string bytes, collector_callback on_answer)
+    void call(const std::string& to, std::string bytes, collector_callback on_reply)
     {
         ++messages;
         if (unresponsive.contains(to))
         {
-            time.delays()(400ms, [on_answer] { on_answer({}); });
+            time.delays()(400ms, [on_reply] { on_reply({}); });
             return;
         }
-        time.delays()(1ms, [this, to, bytes = std::move(bytes), on_answer]
-                      { members[to]->router.collect(bytes, on_answer); });
+        time.delays()(1ms, [this, to, bytes = std::move(bytes), on_reply]
+                      { members[to]->router.collect(bytes, on_reply); });
     }
 
     void put(member& by, const std::string& key, std::optional<row_version> expected = std::nullopt)
@@ -115,7 +115,7 @@
 {
     none,
     store_unreachable,
-    silent,
+    unresponsive,
 };
 
 /// Every third of @a count gateways has @a fault; the others write at a constant rate to eight partitions for
@@ -138,7 +138,7 @@
             member->store.reported_reachable = false;
             cut_off_members.push_back(member.get());
         }
-        else if (fault == collector_fault::silent)
+        else if (fault == collector_fault::unresponsive)
         {
             world.unresponsive.insert(address);
         }
@@ -467,7 +467,7 @@
     {
         const auto baseline = write_steadily(count, collector_fault::none);
         CHECK(baseline.done == baseline.wanted);
-        for (const auto fault : {collector_fault::store_unreachable, collector_fault::silent})
+        for (const auto fault : {collector_fault::store_unreachable, collector_fault::unresponsive})
         {
             CAPTURE(count);
             CAPTURE(static_cast<int>(fault));
--- a/tests/unit/test_gateway_spending.cpp
+++ b/tests/unit/test_gateway_spending.cpp
@@ -61,10 +61,10 @@
     std::unique_ptr<gateway_member> make(std::size_t n, std::size_t count)
     {
         const auto call =
-            [this](const std::string& to, const std::string& bytes, const collector_callback& on_answer)
+            [this](const std::string& to, const std::string& bytes, const collector_callback& on_reply)
         {
-            time.delays()(1ms, [this, to, bytes, on_answer]
-                          { gateways[std::stoul(to)]->commits.collect(bytes, on_answer); });
+            time.delays()(1ms, [this, to, bytes, on_reply]
+                          { gateways[std::stoul(to)]->commits.collect(bytes, on_reply); });
         };
         auto made = std::make_unique<gateway_member>(rows, time, std::to_string(n), call);
         std::vector<peer> peers;
--- a/tests/unit/test_platform_codec.cpp
+++ b/tests/unit/test_platform_codec.cpp
@@ -265,7 +265,7 @@
     REQUIRE(config->routes.size() == 2);
     const auto& turns = config->routes[0];
     CHECK(turns.kind == gateway::request_kind::stream);
-    CHECK(turns.keeps_turns());
+    CHECK(turns.retains_turns());
     CHECK(turns.services.size() == 2);
     CHECK(turns.services[0].weight == 90);
     CHECK(turns.max_attempts == 2);
@@ -274,7 +274,7 @@
     CHECK(turns.event_gap == 200ms);
     const auto& tool = config->routes[1];
     CHECK(tool.kind == gateway::request_kind::non_idempotent);
-    CHECK_FALSE(tool.keeps_turns());
+    CHECK_FALSE(tool.retains_turns());
     CHECK(tool.services[0].service.value == "s2");
     CHECK(tool.timeout == 1'500ms);
     CHECK(tool.max_attempts == 1);
