--- a/include/masticcourse/gateway/bucket_ownership.hpp
+++ b/include/masticcourse/gateway/bucket_ownership.hpp
@@ -97,10 +97,10 @@
         return m_self;
     }
     /// @return whether the row names this incarnation as the holder
-    [[nodiscard]] bool owns(std::size_t bucket) const;
+    [[nodiscard]] bool is_holder(std::size_t bucket) const;
     /// @return whether this incarnation owns the bucket and may use it: it has not started to release it, and
     /// its lease is valid
-    [[nodiscard]] bool holds(std::size_t bucket) const;
+    [[nodiscard]] bool may_use(std::size_t bucket) const;
     /// @return when this incarnation took a bucket that it owns; state from an earlier ownership is invalid
     [[nodiscard]] time_point held_since(std::size_t bucket) const
     {
--- a/include/masticcourse/gateway/commit_router.hpp
+++ b/include/masticcourse/gateway/commit_router.hpp
@@ -73,10 +73,10 @@
 class commit_router final : public commit_sink
 {
   public:
-    /// @param own writes the changes that this gateway collects, and those for which collectors do not
-    /// respond
-    commit_router(commit_sink& own, const row_store& store, peer_directory& peers, collector_call call,
-                  delay_function delay, clock_function clock);
+    /// @param local_commits writes the changes that this gateway collects, and those for which collectors do
+    /// not respond
+    commit_router(commit_sink& local_commits, const row_store& store, peer_directory& peers,
+                  collector_call call, delay_function delay, clock_function clock);
 
     void submit(const std::string& partition, row_change change, change_callback on_result) override;
     [[nodiscard]] std::size_t pending() const override;
@@ -126,7 +126,7 @@
     void on_failure(const std::string& collector, item_list sent, const collector_reply& reply);
     void resend_later(item it);
 
-    commit_sink& m_own;
+    commit_sink& m_local_commits;
     const row_store& m_store;
     peer_directory& m_peers;
     collector_call m_call;
--- a/include/masticcourse/gateway/time.hpp
+++ b/include/masticcourse/gateway/time.hpp
@@ -26,6 +26,6 @@
 }
 
 /// @return the monotonic time since the VM was booted, including the time that it was suspended
-[[nodiscard]] time_point boot_time_now();
+[[nodiscard]] time_point boottime_now();
 
 } // namespace masticcourse::gateway
--- a/src/gateway/bucket_ownership.cpp
+++ b/src/gateway/bucket_ownership.cpp
@@ -160,16 +160,16 @@
     }
 }
 
-bool bucket_ownership::owns(std::size_t bucket) const
+bool bucket_ownership::is_holder(std::size_t bucket) const
 {
     return m_row.buckets[bucket] == m_self;
 }
 
-bool bucket_ownership::holds(std::size_t bucket) const
+bool bucket_ownership::may_use(std::size_t bucket) const
 {
     const bool leaving = m_is_bucket_idle && m_store.reachable();
     const bool valid = !m_terms.lease || m_boottime_clock() < m_lease_expiry;
-    return owns(bucket) && valid && !leaving && !m_release_attempted;
+    return is_holder(bucket) && valid && !leaving && !m_release_attempted;
 }
 
 std::optional<std::string> bucket_ownership::holder_of(std::size_t bucket) const
@@ -244,7 +244,7 @@
     for (std::size_t bucket = 0; bucket < m_held_since.size(); ++bucket)
     {
         auto& since = m_held_since[bucket];
-        since = owns(bucket) ? std::optional{since.value_or(now)} : std::nullopt;
+        since = is_holder(bucket) ? std::optional{since.value_or(now)} : std::nullopt;
     }
 }
 
@@ -271,8 +271,8 @@
 std::size_t bucket_ownership::fair_share() const
 {
     // Requests wait for the holder's answer, so only VMs with enough processor time hold buckets.
-    const auto helpers = m_peers.eligible_gateways();
-    return m_peers.is_eligible() ? (m_terms.buckets + helpers - 1) / helpers : 0;
+    const auto eligible = m_peers.eligible_gateways();
+    return m_peers.is_eligible() ? (m_terms.buckets + eligible - 1) / eligible : 0;
 }
 
 bool bucket_ownership::inherits(const gateway_incarnation& holder) const
@@ -318,7 +318,7 @@
     auto next = m_row;
     for (std::size_t bucket = 0; bucket < next.buckets.size(); ++bucket)
     {
-        if (owns(bucket) && m_is_bucket_idle(bucket))
+        if (is_holder(bucket) && m_is_bucket_idle(bucket))
         {
             next.buckets[bucket].reset();
         }
--- a/src/gateway/commit_router.cpp
+++ b/src/gateway/commit_router.cpp
@@ -48,16 +48,16 @@
 
 } // namespace
 
-commit_router::commit_router(commit_sink& own, const row_store& store, peer_directory& peers,
+commit_router::commit_router(commit_sink& local_commits, const row_store& store, peer_directory& peers,
                              collector_call call, delay_function delay, clock_function clock)
-    : m_own(own), m_store(store), m_peers(peers), m_call(std::move(call)), m_delay(std::move(delay)),
-      m_clock(std::move(clock))
+    : m_local_commits(local_commits), m_store(store), m_peers(peers), m_call(std::move(call)),
+      m_delay(std::move(delay)), m_clock(std::move(clock))
 {
 }
 
 std::size_t commit_router::pending() const
 {
-    return m_forwarded + m_deferred.size() + m_own.pending();
+    return m_forwarded + m_deferred.size() + m_local_commits.pending();
 }
 
 void commit_router::submit(const std::string& partition, row_change change, change_callback on_result)
@@ -93,7 +93,7 @@
                          : std::nullopt;
     if (!collector)
     {
-        m_own.submit(it.change.partition, std::move(it.change.change), std::move(it.on_result));
+        m_local_commits.submit(it.change.partition, std::move(it.change.change), std::move(it.on_result));
         return std::nullopt;
     }
     ++m_forwarded;
@@ -285,15 +285,15 @@
         auto& it = (*changes)[i];
         // Expires when the reply is due: after that, the sender sends the change again.
         it.change.expires = std::min(it.change.expires, now + max_collect_time);
-        m_own.submit(it.partition, std::move(it.change),
-                     [collected, i](const change_result& result)
-                     {
-                         collected->results[i] = result;
-                         if (--collected->outstanding == 0)
-                         {
-                             collected->finish();
-                         }
-                     });
+        m_local_commits.submit(it.partition, std::move(it.change),
+                               [collected, i](const change_result& result)
+                               {
+                                   collected->results[i] = result;
+                                   if (--collected->outstanding == 0)
+                                   {
+                                       collected->finish();
+                                   }
+                               });
     }
 }
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -115,19 +115,19 @@
       spending(shared_rows, commits, delay, monotonic_now),
       turns(shared_rows, commits, options.cache_bytes, options.row_bytes),
       overdraft_buckets(overdraft_ownership_terms(), store, peers,
-                        {options.peer_address, random_incarnation()}, delay, monotonic_now, boot_time_now),
+                        {options.peer_address, random_incarnation()}, delay, monotonic_now, boottime_now),
       overdrafts(
           overdraft_buckets,
           [this](const auto& address, auto message, auto on_reply)
           { peer_client.overdraft(address, std::move(message), std::move(on_reply)); },
           monotonic_now),
       quota_buckets(quota_ownership_terms(), store, peers, {options.peer_address, random_incarnation()},
-                    delay, monotonic_now, boot_time_now),
+                    delay, monotonic_now, boottime_now),
       quotas(
           {.rule = options.quota}, quota_buckets, peers,
           [this](const auto& address, auto request, auto on_reply)
           { peer_client.quota(address, std::move(request), std::move(on_reply)); },
-          delay, monotonic_now, boot_time_now, registry),
+          delay, monotonic_now, boottime_now, registry),
       services{.open_stream = [this](auto request, auto on_chunk, auto on_reply)
                { return client.open_stream(std::move(request), std::move(on_chunk), std::move(on_reply)); },
                .protocol = protocol,
--- a/src/gateway/overdraft.cpp
+++ b/src/gateway/overdraft.cpp
@@ -48,7 +48,7 @@
     };
     const auto bucket = overdraft_bucket_of(message.program.value);
     const auto holder = m_buckets.holder_of(bucket);
-    if (m_buckets.owns(bucket) || !holder)
+    if (m_buckets.is_holder(bucket) || !holder)
     {
         complete(apply(message));
         return;
@@ -68,7 +68,7 @@
         m_ledger.settle(message.program, message.request, message.tokens);
         return 0;
     }
-    return m_buckets.holds(overdraft_bucket_of(message.program.value))
+    return m_buckets.may_use(overdraft_bucket_of(message.program.value))
                ? m_ledger.draw(message.program, message.request, message.tokens, m_clock())
                : 0;
 }
--- a/src/gateway/quota/workspace_quotas.cpp
+++ b/src/gateway/quota/workspace_quotas.cpp
@@ -197,12 +197,12 @@
 bool workspace_quotas::reachable(const slice_id& slice) const
 {
     const auto bucket = quota_bucket_of(slice);
-    if (m_buckets.holds(bucket))
+    if (m_buckets.may_use(bucket))
     {
         return true;
     }
     const auto holder = m_buckets.holder_of(bucket);
-    if (!holder || m_buckets.owns(bucket))
+    if (!holder || m_buckets.is_holder(bucket))
     {
         return false;
     }
@@ -219,7 +219,7 @@
     std::ranges::rotate(slices, slices.begin() + static_cast<std::ptrdiff_t>(first));
     std::ranges::stable_partition(slices,
                                   [&](std::size_t n) {
-                                      return m_buckets.holds(quota_bucket_of({name, n}));
+                                      return m_buckets.may_use(quota_bucket_of({name, n}));
                                   });
     return slices;
 }
@@ -228,7 +228,7 @@
 {
     const auto sent_at = m_boottime_clock();
     const auto bucket = quota_bucket_of(request.slice);
-    if (m_buckets.holds(bucket))
+    if (m_buckets.may_use(bucket))
     {
         on_response(request, limits, sent_at, grant_locally(request));
         return;
@@ -277,7 +277,7 @@
             }
         }
     }
-    else if (m_buckets.owns(quota_bucket_of(request.slice)))
+    else if (m_buckets.is_holder(quota_bucket_of(request.slice)))
     {
         // This gateway held the slice when the request was made and has given it up since.
         it.backoffs.back_off(request.slice.index, admission_kind::start,
@@ -369,7 +369,7 @@
 {
     const auto limits = limits_for(request.slice.workspace);
     const auto bucket = quota_bucket_of(request.slice);
-    if (!m_buckets.holds(bucket) || !limits || request.slice.index >= limits->count)
+    if (!m_buckets.may_use(bucket) || !limits || request.slice.index >= limits->count)
     {
         return not_holder{};
     }
--- a/src/gateway/time.cpp
+++ b/src/gateway/time.cpp
@@ -5,7 +5,7 @@
 namespace masticcourse::gateway
 {
 
-time_point boot_time_now()
+time_point boottime_now()
 {
     timespec now{};
     clock_gettime(CLOCK_BOOTTIME, &now);
--- a/tests/unit/test_gateway_collected_rows.cpp
+++ b/tests/unit/test_gateway_collected_rows.cpp
@@ -35,27 +35,27 @@
     {
         member(peer_read_world& world, const std::string& address)
             : peers({address, 1}), store(world.rows, world.time.delays()),
-              own(store, world.time.delays(), world.time.clock()),
+              local_commits(store, world.time.delays(), world.time.clock()),
               commits(
-                  own, store, peers,
+                  local_commits, store, peers,
                   [&world](const auto& to, const auto& bytes, const auto& on_reply)
                   { world.collect(to, bytes, on_reply); },
                   world.time.delays(), world.time.clock()),
-              shared(
-                  store, own.cached_rows(), peers,
+              shared_rows(
+                  store, local_commits.cached_rows(), peers,
                   [&world](const auto& to, const auto& bytes, const auto& on_rows)
                   { world.query_rows(to, bytes, on_rows); },
                   world.time.clock()),
-              spending(shared, commits, world.time.delays(), world.time.clock()),
-              turns(shared, commits, cache_bytes, row_bytes)
+              spending(shared_rows, commits, world.time.delays(), world.time.clock()),
+              turns(shared_rows, commits, cache_bytes, row_bytes)
         {
         }
 
         peer_directory peers;
         memory_store store;
-        commit_queue own;
+        commit_queue local_commits;
         commit_router commits;
-        collected_rows shared;
+        collected_rows shared_rows;
         program_spending spending;
         turn_store turns;
     };
@@ -79,7 +79,7 @@
     void query_rows(const std::string& to, const std::string& bytes, const peer_callback& on_rows)
     {
         const auto answer = [this, to, bytes, on_rows]
-        { on_rows(unresponsive ? std::nullopt : members[std::stoul(to)]->shared.read_cached(bytes)); };
+        { on_rows(unresponsive ? std::nullopt : members[std::stoul(to)]->shared_rows.read_cached(bytes)); };
         time.delays()(1ms, answer);
     }
 
--- a/tests/unit/test_gateway_overdraft.cpp
+++ b/tests/unit/test_gateway_overdraft.cpp
@@ -114,7 +114,7 @@
         std::vector<std::string> found;
         for (const auto& [address, it] : members)
         {
-            if (it->buckets.holds(bucket))
+            if (it->buckets.may_use(bucket))
             {
                 found.push_back(address);
             }
@@ -283,12 +283,12 @@
     CHECK(group.draw(holder, "p", "a") == 100);
     leaving.buckets.leave([&leaving](std::size_t it) { return leaving.overdrafts.idle(it); });
     group.time.run(1s);
-    CHECK(leaving.buckets.owns(bucket));
+    CHECK(leaving.buckets.is_holder(bucket));
     CHECK(group.holders(bucket).empty());
     CHECK(group.draw(holder, "p", "c") == 0);
     leaving.overdrafts.clear({"p"}, {"a"});
     group.time.run(1s);
-    CHECK_FALSE(leaving.buckets.owns(bucket));
+    CHECK_FALSE(leaving.buckets.is_holder(bucket));
     CHECK(leaving.buckets.release_finished());
     group.stop(holder);
     group.time.run(10s);
--- a/tests/unit/test_gateway_peers.cpp
+++ b/tests/unit/test_gateway_peers.cpp
@@ -43,9 +43,9 @@
     {
         member(router_world& world, const peer& self)
             : peers(self), store(world.rows, world.time.delays()),
-              own(store, world.time.delays(), world.time.clock()),
+              local_commits(store, world.time.delays(), world.time.clock()),
               router(
-                  own, store, peers,
+                  local_commits, store, peers,
                   [&world](const std::string& to, std::string bytes, collector_callback on_reply)
                   { world.call(to, std::move(bytes), std::move(on_reply)); },
                   world.time.delays(), world.time.clock())
@@ -53,7 +53,7 @@
         }
         peer_directory peers;
         memory_store store;
-        commit_queue own;
+        commit_queue local_commits;
         commit_router router;
     };
 
--- a/tests/unit/test_gateway_quota.cpp
+++ b/tests/unit/test_gateway_quota.cpp
@@ -306,7 +306,7 @@
     quota_group group(6, {{"w", {40, 40}}});
     const auto bucket = quota_bucket_of({{"w"}, 0});
     const auto holder = *group.at("g0").buckets.holder_of(bucket);
-    REQUIRE(group.at(holder).buckets.holds(bucket));
+    REQUIRE(group.at(holder).buckets.may_use(bucket));
     SUBCASE("failed permanently")
     {
         group.stop(holder);
@@ -315,24 +315,24 @@
         group.time.run(60s);
         const auto next = *group.at(group.addresses()[0]).buckets.holder_of(bucket);
         CHECK(next != holder);
-        CHECK(group.at(next).buckets.holds(bucket));
+        CHECK(group.at(next).buckets.may_use(bucket));
     }
     SUBCASE("the store does not respond")
     {
         group.at(holder).store.mode = store_mode::unresponsive;
         group.time.run(10s);
-        CHECK(group.at(holder).buckets.holds(bucket));
+        CHECK(group.at(holder).buckets.may_use(bucket));
         group.time.run(20s);
-        CHECK_FALSE(group.at(holder).buckets.holds(bucket));
+        CHECK_FALSE(group.at(holder).buckets.may_use(bucket));
     }
     SUBCASE("frozen beyond its lease")
     {
         group.freeze(holder, 100s);
         group.time.run(99s);
-        CHECK_FALSE(group.at(holder).buckets.holds(bucket));
+        CHECK_FALSE(group.at(holder).buckets.may_use(bucket));
         group.time.run(10s);
         const auto holders = std::ranges::count_if(group.addresses(), [&](const auto& it)
-                                                   { return group.at(it).buckets.holds(bucket); });
+                                                   { return group.at(it).buckets.may_use(bucket); });
         CHECK(holders == 1);
     }
 }
@@ -345,7 +345,7 @@
     send_load(group, {holder}, "w", 200, 2s);
     group.start(holder);
     group.time.run(1s);
-    CHECK(group.at(holder).buckets.holds(bucket));
+    CHECK(group.at(holder).buckets.may_use(bucket));
     send_load(group, {holder}, "w", 200, 5s);
     CHECK(complies_with_rule(group.sent["w"], {40, 40}, default_rule));
 }
@@ -363,7 +363,7 @@
     for (std::size_t bucket = 0; bucket < quota_bucket_count; ++bucket)
     {
         const auto holders = std::ranges::count_if(group.addresses(), [&](const auto& it)
-                                                   { return group.at(it).buckets.holds(bucket); });
+                                                   { return group.at(it).buckets.may_use(bucket); });
         CHECK(holders == 1);
     }
 }
