--- a/include/masticcourse/gateway/bucket_ownership.hpp
+++ b/include/masticcourse/gateway/bucket_ownership.hpp
@@ -7,7 +7,7 @@
 /// - Where a bucket may be taken over without its holder's consent, it is held under a lease. The holder
 ///   renews the lease in the row, and stops using the bucket if the lease expires; others take the bucket
 ///   over after a longer time without an observed renewal. Each side uses its own clock only.
-/// - VMs with little processor time take no buckets while there are others.
+/// - VMs with little CPU take no buckets while there are others.
 /// - Reads and writes are spread over an interval that grows with the number of gateways. Otherwise hundreds
 ///   of gateways that start together would overload the row and its partition with conflicts.
 #pragma once
@@ -98,10 +98,11 @@
     }
     /// @return whether the row names this incarnation as the holder
     [[nodiscard]] bool is_holder(std::size_t bucket) const;
-    /// @return whether this incarnation owns the bucket and may use it: it has not started to release it, and
-    /// its lease is valid
+    /// @return whether this incarnation is the holder and may use the bucket: it has not started to release
+    /// it, and its lease is valid
     [[nodiscard]] bool may_use(std::size_t bucket) const;
-    /// @return when this incarnation took a bucket that it owns; state from an earlier ownership is invalid
+    /// @return when this incarnation became the holder of a bucket that it holds; state from an earlier time
+    /// as the holder is invalid
     [[nodiscard]] time_point held_since(std::size_t bucket) const
     {
         return m_held_since[bucket].value();
@@ -124,7 +125,7 @@
     /// Schedules the next call of `reconcile`, replacing any call scheduled before.
     void schedule_reconcile(milliseconds delay);
     void apply_row(const std::optional<stored_row>& row);
-    /// Updates since when each bucket is owned.
+    /// Updates since when each bucket is held.
     void update_held_since();
     /// Records when the renewal count of each holder last changed.
     void update_observed_renewals();
@@ -163,7 +164,7 @@
     ownership_row m_row;
     row_version m_version = 0;
     row_fault_log m_faults;
-    /// Empty for buckets that this incarnation does not own.
+    /// Empty for buckets that this incarnation does not hold.
     std::vector<std::optional<time_point>> m_held_since;
     std::map<std::string, observed_renewal> m_observed_renewals;
     time_point m_lease_expiry{};
--- a/include/masticcourse/gateway/gateway.hpp
+++ b/include/masticcourse/gateway/gateway.hpp
@@ -101,7 +101,7 @@
     /// Handles a peer's request to overdraft_path.
     void serve_overdraft(const http_request& request, const std::shared_ptr<http_exchange>& exchange);
 
-    /// Path at which peers request portions of the quota slices held by this gateway.
+    /// Path at which peers request permits from the quota slices held by this gateway.
     static constexpr const char* quota_path = "/quota";
     /// Handles a peer's request to quota_path.
     void serve_quota(const http_request& request, const std::shared_ptr<http_exchange>& exchange);
--- a/include/masticcourse/gateway/gateway_request.hpp
+++ b/include/masticcourse/gateway/gateway_request.hpp
@@ -21,7 +21,9 @@
 namespace masticcourse::gateway
 {
 
-/// The program that a request belongs to, as stated by the request.
+/// The program that a request belongs to, as stated by the request. A program is one run of a caller's agent:
+/// a chain of turns, each a request to a model that continues the previous one, and tool calls between them.
+/// Its turns share a token budget.
 struct program_context
 {
     program_id program;
--- a/include/masticcourse/gateway/overdraft.hpp
+++ b/include/masticcourse/gateway/overdraft.hpp
@@ -39,7 +39,7 @@
 [[nodiscard]] std::optional<token_count> decode_grant(const std::string& bytes);
 /// @}
 
-/// Receives the number of tokens that may be delivered; 0 if there are none or the holder did not answer.
+/// Receives the number of tokens that may be delivered; 0 if there are none or the holder did not reply.
 using draw_callback = std::function<void(token_count)>;
 
 [[nodiscard]] ownership_terms overdraft_ownership_terms();
--- a/include/masticcourse/gateway/quota/quota_account.hpp
+++ b/include/masticcourse/gateway/quota/quota_account.hpp
@@ -16,7 +16,7 @@
 /// Permission to send one request. Its expiry is checked immediately before the request is sent to a target.
 struct quota_permit
 {
-    /// Measured by a clock that keeps running while the VM is suspended.
+    /// Measured by the boottime clock, which keeps running while the VM is suspended.
     time_point expires;
 };
 
--- a/include/masticcourse/gateway/quota/workspace_quotas.hpp
+++ b/include/masticcourse/gateway/quota/workspace_quotas.hpp
@@ -160,7 +160,7 @@
     config_ptr m_config;
     std::unordered_map<workspace_id, account> m_accounts;
     std::unordered_map<slice_id, quota_slice, slice_hash> m_slices;
-    /// Holders that did not answer or did not hold a slice, and until when they are excluded.
+    /// Holders that did not reply or did not hold a slice, and until when they are excluded.
     std::unordered_map<std::string, time_point> m_excluded_until;
 };
 
--- a/include/masticcourse/gateway/request_forwarding.hpp
+++ b/include/masticcourse/gateway/request_forwarding.hpp
@@ -57,7 +57,7 @@
 
 [[nodiscard]] std::string_view to_string(request_outcome outcome);
 
-/// Starts forwarding a request, which lives until it is answered or its caller disconnects.
+/// Starts forwarding a request. Its state exists until it is answered or its caller disconnects.
 /// @param config      configuration in force on arrival; used until the request ends
 /// @param on_finished called exactly once
 void forward_request(forwarding_services& services, config_ptr config, gateway_request request,
--- a/include/masticcourse/gateway/route_table.hpp
+++ b/include/masticcourse/gateway/route_table.hpp
@@ -42,9 +42,9 @@
     /// Path prefix; starts and ends with a slash.
     std::string prefix;
     request_kind kind = request_kind::non_idempotent;
-    /// Maximum time until the caller gets an answer.
+    /// Maximum time until the caller gets a response.
     milliseconds timeout{};
-    /// Latency target for the answer, or for the first event of a stream.
+    /// Latency target for the response, or for the first event of a stream.
     milliseconds target_latency{};
     /// 0 is the highest priority.
     std::uint32_t priority = 0;
@@ -68,6 +68,7 @@
         return kind == request_kind::idempotent || (kind == request_kind::stream && resumable);
     }
 
+    /// @return whether completed turns are stored for the turns that continue them
     [[nodiscard]] bool retains_turns() const
     {
         return retention.has_value();
--- a/include/masticcourse/gateway/target_choice.hpp
+++ b/include/masticcourse/gateway/target_choice.hpp
@@ -3,7 +3,7 @@
 ///
 /// Load pattern: hundreds of gateways and targets in several failure domains. If requests were spread over
 /// all targets, each gateway would open connections to nearly every target for a few requests each, and most
-/// prompts and answers would cross failure domains. Preferring the local failure domain needs connections
+/// prompts and responses would cross failure domains. Preferring the local failure domain needs connections
 /// between only a fraction of the pairs; if the targets of a domain are busy or lost, its requests go to the
 /// other domains.
 #pragma once
--- a/include/masticcourse/gateway/target_table.hpp
+++ b/include/masticcourse/gateway/target_table.hpp
@@ -1,6 +1,6 @@
 /// @file
 /// The targets known to this process with their load and health, updated from the target registry, from the
-/// load reports in answers and from the outcomes of this process's own requests.
+/// load reports in responses and from the outcomes of this process's own requests.
 #pragma once
 
 #include "masticcourse/core/ids.hpp"
@@ -53,7 +53,7 @@
     friend bool operator==(const target_record&, const target_record&) = default;
 };
 
-/// The load that a target reported in an answer.
+/// The load that a target reported in a response.
 struct target_load_report
 {
     std::uint32_t running = 0;
@@ -64,15 +64,15 @@
 /// What the outcome of a request says about the health of its target.
 enum class health_signal : std::uint8_t
 {
-    /// The target answered correctly.
+    /// The target responded correctly.
     healthy,
     /// The target refused the request without executing it.
     refused,
-    /// Another target, or another instance of the same one, answers at the address: this instance has ended.
+    /// Another target, or another instance of the same one, responds at the address: this instance has ended.
     replaced,
     /// No connection could be opened.
     unreachable,
-    /// The answer was missing, truncated or malformed.
+    /// The response was missing, truncated or malformed.
     failed,
     /// The request ended for reasons of the gateway or the caller; says nothing about the target.
     none,
@@ -87,13 +87,13 @@
     /// Requests of other gateways, as of the last load report.
     std::uint32_t external_load = 0;
     time_point reported_at{};
-    /// Consecutive failures since the last correct answer.
+    /// Consecutive failures since the last correct response.
     std::uint32_t failures = 0;
     /// The target is used only if no other is left until this time.
     time_point backoff_until{};
     /// Set once its registry entry is missing: the target is forgotten at this time.
     std::optional<time_point> expires_at;
-    /// Its address is answered by another instance: it gets no requests until its registry entry changes.
+    /// Another instance responds at its address: it gets no requests until its registry entry changes.
     bool replaced = false;
 
     /// @return the estimated number of requests running or queued at the target
--- a/include/masticcourse/gateway/turn_store.hpp
+++ b/include/masticcourse/gateway/turn_store.hpp
@@ -18,7 +18,7 @@
 namespace masticcourse::gateway
 {
 
-/// A turn that was answered completely.
+/// A turn whose response is complete.
 struct turn_record
 {
     /// The preceding turns, oldest first; the last one is the direct predecessor. With the whole list, a
--- a/src/gateway/bucket_ownership.cpp
+++ b/src/gateway/bucket_ownership.cpp
@@ -270,7 +270,7 @@
 
 std::size_t bucket_ownership::fair_share() const
 {
-    // Requests wait for the holder's answer, so only VMs with enough processor time hold buckets.
+    // Requests wait for the holder's reply, so only VMs with enough CPU hold buckets.
     const auto eligible = m_peers.eligible_gateways();
     return m_peers.is_eligible() ? (m_terms.buckets + eligible - 1) / eligible : 0;
 }
--- a/src/gateway/cbor_messages.hpp
+++ b/src/gateway/cbor_messages.hpp
@@ -43,7 +43,8 @@
     }
     catch (const std::exception&)
     {
-        // The sender is told that the message was not understood, and continues without an answer.
+        // The receiver of a malformed request replies with status 400, and the receiver of a malformed reply
+        // continues as if there were none.
         return std::nullopt;
     }
 }
--- a/src/gateway/commit_router.cpp
+++ b/src/gateway/commit_router.cpp
@@ -228,8 +228,8 @@
 {
     if (!m_store.reachable())
     {
-        // Nobody can write to the store at present. The collector is kept, so that the store does not face
-        // many writers per partition when it recovers.
+        // Nobody can write to the store at present. The collector is not excluded, so that the store does not
+        // face many writers per partition when it recovers.
         std::ranges::for_each(sent, [this](item& it) { defer(std::move(it)); });
         return;
     }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -16,7 +16,8 @@
 namespace
 {
 
-/// How long a registry entry that vanished around a store outage may take to reappear.
+/// How long a registry entry that vanished around a store outage may take to reappear before its target is
+/// removed.
 constexpr milliseconds vanished_entry_grace{2'000};
 /// Interval between sweeps of the tables for expired entries.
 constexpr milliseconds sweep_period{100};
@@ -31,7 +32,7 @@
 /// Retry-After of a process that has read no configuration yet.
 constexpr milliseconds no_configuration_retry_after{300};
 
-/// Distinguishes this process instance from all others on its VM.
+/// @return a random id that distinguishes this incarnation from all others on its VM
 std::string random_incarnation()
 {
     std::random_device source;
@@ -344,7 +345,7 @@
     sweep();
     frontend->announce_close();
     overdraft_buckets.leave([this](std::size_t bucket) { return overdrafts.idle(bucket); });
-    // Portions handed out to peers expire by themselves.
+    // Permits granted to peers expire by themselves.
     quota_buckets.leave([](std::size_t) { return true; });
     check_stopped();
 }
--- a/src/gateway/peer_calls.hpp
+++ b/src/gateway/peer_calls.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP calls between gateways: forwarded commits, queries of cached rows, overdrafts and quota portions.
+/// HTTP calls between gateways: forwarded commits, queries of cached rows, overdrafts and quota permits.
 #pragma once
 
 #include "masticcourse/gateway/collected_rows.hpp"
--- a/src/gateway/quota/workspace_quotas.cpp
+++ b/src/gateway/quota/workspace_quotas.cpp
@@ -16,7 +16,7 @@
 
 /// Permits are prefetched for the requests expected within this time span, estimated from recent demand.
 constexpr milliseconds prefetch_window{250};
-/// How long a holder that did not answer is excluded.
+/// How long a holder that did not reply is excluded.
 constexpr milliseconds unresponsive_backoff{1'000};
 /// How long a gateway that does not hold the slice is excluded: either it has just started and is about to
 /// take the slice, or another gateway takes it.
--- a/src/gateway/row_fault_log.cpp
+++ b/src/gateway/row_fault_log.cpp
@@ -10,7 +10,8 @@
 namespace
 {
 
-/// Maximum number of rows remembered: a faulty writer may write many invalid rows.
+/// Maximum number of rows tracked: a faulty writer may write many invalid rows. Beyond it, all are forgotten
+/// and may be logged again.
 constexpr std::size_t max_reported = 1'000;
 
 } // namespace
--- a/src/gateway/target_table.cpp
+++ b/src/gateway/target_table.cpp
@@ -146,7 +146,7 @@
     }
     else if (signal != health_signal::none)
     {
-        // A failed answer may be a transient error, which a few percent of requests meet at worst,
+        // A failed response may be a transient error, which a few percent of requests meet at worst,
         // or the target may be going down. Avoiding it for 250 ms costs nothing in the first case, and in the
         // second it protects requests that can't be retried.
         ++entry.failures;
--- a/src/gateway/turn_store.cpp
+++ b/src/gateway/turn_store.cpp
@@ -211,13 +211,12 @@
         on_turn(chain_outcome::found, std::move(turn));
         return;
     }
-    const row_query query{
-        .table = turn_table,
-        .partition = partition_of(id.value),
-        .from = id.value,
-        .to = id.value +
-              std::string{chunk_range_suffix}, // Turns are immutable, so cached rows are always current.
-        .allow_cached = true};
+    const row_query query{.table = turn_table,
+                          .partition = partition_of(id.value),
+                          .from = id.value,
+                          .to = id.value + std::string{chunk_range_suffix},
+                          // Turns are immutable, so cached rows are always current.
+                          .allow_cached = true};
     m_store.query(query,
                   [this, id, on_turn = std::move(on_turn)](const query_reply& reply)
                   {
--- a/tests/support/quota_group.cpp
+++ b/tests/support/quota_group.cpp
@@ -12,7 +12,7 @@
 using gateway::milliseconds;
 using gateway::time_point;
 
-/// Time after which a gateway gives up waiting for an answer.
+/// Time after which a gateway gives up waiting for a reply.
 constexpr milliseconds message_timeout{100};
 
 } // namespace
--- a/tests/support/quota_group.hpp
+++ b/tests/support/quota_group.hpp
@@ -35,7 +35,7 @@
         std::string address;
         /// Timers that are due before this time run only then.
         gateway::time_point frozen_until{};
-        /// Total time it has been frozen; its steady clock stands still while it is frozen.
+        /// Total time it has been frozen; its monotonic clock stops while it is frozen.
         gateway::duration frozen_total{};
         memory_store store;
         gateway::peer_directory peers;
