--- a/bench/journal_bench.cpp
+++ b/bench/journal_bench.cpp
@@ -212,8 +212,8 @@
                           journals);
         while (claim.state() == claim_state::claiming)
         {
-            run_to_end(claim, store, now);
-            run_to_end(journals, store, now);
+            run_to_completion(claim, store, now);
+            run_to_completion(journals, store, now);
         }
         result.records += claim.records().size();
     }
--- a/bench/policy/sim_target.cpp
+++ b/bench/policy/sim_target.cpp
@@ -76,7 +76,7 @@
 std::map<program_id, token_count> sim_target::held() const
 {
     std::map<program_id, token_count> held;
-    for (const auto& it : m_engine.held())
+    for (const auto& it : m_engine.cached_programs())
     {
         held.emplace(it.program, it.tokens);
     }
--- a/standins/answer_text.cpp
+++ b/standins/answer_text.cpp
@@ -19,35 +19,35 @@
 
 } // namespace
 
-prefix_key extend_prefix(prefix_key parent, const std::string& segment)
+prefix_key extend_prefix_key(prefix_key parent, const std::string& segment)
 {
     return XXH64(segment.data(), segment.size(), parent);
 }
 
-prefix_key prefix_of(std::span<const std::string> prompt)
+prefix_key compute_prefix_key(std::span<const std::string> prompt)
 {
-    return std::accumulate(prompt.begin(), prompt.end(), empty_prefix, extend_prefix);
+    return std::accumulate(prompt.begin(), prompt.end(), empty_prefix, extend_prefix_key);
 }
 
-std::string answer_word(prefix_key prompt, std::uint64_t index)
+std::string completion_word(prefix_key prompt, std::uint64_t index)
 {
-    std::uint64_t bits = XXH64(&index, sizeof index, prompt);
+    std::uint64_t hash = XXH64(&index, sizeof index, prompt);
     std::string word = index == 0 ? "" : " ";
     for (std::size_t n = 0; n < syllables_per_word; ++n)
     {
-        word += syllables.at(bits % syllables.size());
-        bits /= syllables.size();
+        word += syllables.at(hash % syllables.size());
+        hash /= syllables.size();
     }
     return word;
 }
 
-std::string answer_text(std::span<const std::string> prompt, token_count words)
+std::string completion_text(std::span<const std::string> prompt, token_count words)
 {
-    const prefix_key key = prefix_of(prompt);
+    const prefix_key key = compute_prefix_key(prompt);
     std::string text;
     for (token_count n = 0; n < words; ++n)
     {
-        text += answer_word(key, static_cast<std::uint64_t>(n));
+        text += completion_word(key, static_cast<std::uint64_t>(n));
     }
     return text;
 }
--- a/standins/cache_events.hpp
+++ b/standins/cache_events.hpp
@@ -28,21 +28,21 @@
   public:
     /// @param delay how late events are told
     /// @param gap   every event whose number this divides is lost; 0: none
-    cache_events(core_duration delay, std::uint32_t gap);
+    cache_events(core_duration delay, std::uint32_t loss_interval);
 
     /// Compares the full listing with the last one.
     void observe(const std::vector<cached_program>& listing, core_time now);
 
     /// @return the events after number @a after that are old enough to be told
-    [[nodiscard]] std::vector<cache_event> told(std::uint64_t after, core_time now) const;
+    [[nodiscard]] std::vector<cache_event> visible_events(std::uint64_t after, core_time now) const;
 
   private:
-    void add(const program_id& program, token_count tokens, core_time now);
+    void append_event(const program_id& program, token_count tokens, core_time now);
 
     core_duration m_delay;
-    std::uint32_t m_gap;
-    std::uint64_t m_last = 0;
-    std::map<program_id, token_count> m_known;
+    std::uint32_t m_loss_interval;
+    std::uint64_t m_last_number = 0;
+    std::map<program_id, token_count> m_last_listing;
     std::deque<cache_event> m_events;
 };
 
--- a/standins/engine_http.cpp
+++ b/standins/engine_http.cpp
@@ -31,7 +31,7 @@
 constexpr int status_not_found = 404;
 constexpr int status_conflict = 409;
 
-std::optional<std::uint64_t> to_number(const std::optional<std::string>& text)
+std::optional<std::uint64_t> parse_uint64(const std::optional<std::string>& text)
 {
     std::uint64_t n = 0;
     if (!text || std::from_chars(text->data(), text->data() + text->size(), n).ec != std::errc{})
@@ -64,15 +64,15 @@
 
 /// The request of a `POST /v1/completions`.
 /// @throws nlohmann::json::exception if it is malformed
-engine_request completion_of(const json& body)
+engine_request parse_completion_request(const json& body)
 {
     engine_request request{.stream = {body.at("stream_id").get<std::string>()},
                            .program = {body.at("program").get<std::string>()},
                            .prompt = body.at("prompt").get<std::vector<std::string>>(),
                            .max_tokens = body.at("max_tokens").get<token_count>()};
-    const auto longest = static_cast<std::uint64_t>(std::max<token_count>(request.max_tokens, 1));
-    const auto length = static_cast<token_count>(1 + prefix_of(request.prompt) % longest);
-    request.answer_tokens = body.value("answer_tokens", length);
+    const auto max_length = static_cast<std::uint64_t>(std::max<token_count>(request.max_tokens, 1));
+    const auto default_length = static_cast<token_count>(1 + compute_prefix_key(request.prompt) % max_length);
+    request.answer_tokens = body.value("answer_tokens", default_length);
     return request;
 }
 
@@ -85,13 +85,13 @@
 
     state(boost::asio::io_context& context, const engine_http_options& options)
         : m_options(options), m_engine(options.engine), m_events(options.event_delay, options.event_gap),
-          m_step_timer(context), m_load_timer(context), m_load(m_engine.load())
+          m_step_timer(context), m_load_timer(context), m_reported_load(m_engine.load())
     {
     }
 
     void start()
     {
-        watch_load();
+        schedule_load_refresh();
     }
 
     void stop()
@@ -106,7 +106,7 @@
         const auto path = path_segments(request.target);
         if (path == std::vector<std::string>{"faults"})
         {
-            take_faults(request, *exchange);
+            handle_faults(request, *exchange);
             return;
         }
         if (m_hanging)
@@ -114,14 +114,14 @@
             m_unanswered.push_back(std::move(exchange));
             return;
         }
-        catch_up();
+        advance_engine();
         if (path.size() < 2 || path[0] != "v1")
         {
             exchange->respond(json_error(status_not_found, "unknown path"));
             return;
         }
         route(request, path, std::move(exchange));
-        schedule();
+        schedule_step();
     }
 
   private:
@@ -130,23 +130,23 @@
         const std::string& resource = path[1];
         if (resource == "completions")
         {
-            complete(request, std::move(exchange));
+            handle_completion(request, std::move(exchange));
         }
         else if (resource == "streams" && path.size() == 3)
         {
-            use_stream(request, {path[2]}, std::move(exchange));
+            handle_stream(request, {path[2]}, std::move(exchange));
         }
         else if (resource == "cache")
         {
-            use_cache(request, path, *exchange);
+            handle_cache(request, path, *exchange);
         }
         else if (resource == "load")
         {
-            exchange->respond(json_response(status_ok, load_json(m_load)));
+            exchange->respond(json_response(status_ok, load_json(m_reported_load)));
         }
         else if (resource == "orders")
         {
-            take_order(request, *exchange);
+            handle_order(request, *exchange);
         }
         else
         {
@@ -154,34 +154,34 @@
         }
     }
 
-    void complete(const http_request& request, exchange_ptr exchange)
+    void handle_completion(const http_request& request, exchange_ptr exchange)
     {
         const json body = json::parse(request.body, nullptr, false);
         engine_request completion;
         try
         {
-            completion = completion_of(body);
+            completion = parse_completion_request(body);
         }
         catch (const json::exception& e)
         {
             exchange->respond(json_error(status_bad_request, e.what()));
             return;
         }
-        if (!pass_fence(completion.program.value, body.value("order", std::uint64_t{0})))
+        if (!accept_fencing_number(completion.program.value, body.value("order", std::uint64_t{0})))
         {
             exchange->respond(json_error(status_conflict, "order is too old"));
             return;
         }
-        if (!m_streams.open(completion.stream))
+        if (!m_streams.create(completion.stream))
         {
             exchange->respond(json_error(status_conflict, "there is such a stream"));
             return;
         }
-        m_streams.listen(completion.stream, std::nullopt, std::move(exchange));
+        m_streams.subscribe(completion.stream, std::nullopt, std::move(exchange));
         m_engine.start(std::move(completion), now());
     }
 
-    void use_stream(const http_request& request, const stream_id& id, exchange_ptr exchange)
+    void handle_stream(const http_request& request, const stream_id& id, exchange_ptr exchange)
     {
         if (!m_streams.contains(id))
         {
@@ -195,18 +195,19 @@
             exchange->respond(json_response(status_ok, "{}"));
             return;
         }
-        m_streams.listen(id, to_number(request.header("Last-Event-ID")), std::move(exchange));
+        m_streams.subscribe(id, parse_uint64(request.header("Last-Event-ID")), std::move(exchange));
     }
 
-    void use_cache(const http_request& request, const std::vector<std::string>& path, http_exchange& exchange)
+    void handle_cache(const http_request& request, const std::vector<std::string>& path,
+                      http_exchange& exchange)
     {
         if (path.size() == 2)
         {
-            exchange.respond(json_response(status_ok, listing_json(m_engine.held())));
+            exchange.respond(json_response(status_ok, listing_json(m_engine.cached_programs())));
         }
         else if (path.size() == 3 && path[2] == "events")
         {
-            tell_events(request, exchange);
+            handle_cache_events(request, exchange);
         }
         else if (path.size() == 3 && request.method == "DELETE")
         {
@@ -215,7 +216,7 @@
         }
         else if (path.size() == 4 && path[3] == "kv")
         {
-            move_prefix(request, {path[2]}, exchange);
+            handle_prefix_transfer(request, {path[2]}, exchange);
         }
         else
         {
@@ -223,7 +224,8 @@
         }
     }
 
-    void move_prefix(const http_request& request, const program_id& program, http_exchange& exchange)
+    void handle_prefix_transfer(const http_request& request, const program_id& program,
+                                http_exchange& exchange)
     {
         if (request.method == "GET")
         {
@@ -231,22 +233,22 @@
                 {.content_type = "application/octet-stream", .body = m_engine.export_prefix(program)});
             return;
         }
-        const bool whole = m_engine.import_prefix(program, request.body, now());
-        exchange.respond(json_response(status_ok, json{{"whole", whole}}.dump()));
+        const bool all_inserted = m_engine.import_prefix(program, request.body, now());
+        exchange.respond(json_response(status_ok, json{{"whole", all_inserted}}.dump()));
     }
 
-    void tell_events(const http_request& request, http_exchange& exchange)
+    void handle_cache_events(const http_request& request, http_exchange& exchange)
     {
         const auto after = query_value(split_target(request.target).query, "after");
         json list = json::array();
-        for (const auto& it : m_events.told(to_number(after).value_or(0), now()))
+        for (const auto& it : m_events.visible_events(parse_uint64(after).value_or(0), now()))
         {
             list.push_back({{"number", it.number}, {"program", it.program.value}, {"tokens", it.tokens}});
         }
         exchange.respond(json_response(status_ok, list.dump()));
     }
 
-    void take_order(const http_request& request, http_exchange& exchange)
+    void handle_order(const http_request& request, http_exchange& exchange)
     {
         const json body = json::parse(request.body, nullptr, false);
         if (!body.is_object() || !body.contains("order"))
@@ -255,7 +257,7 @@
             return;
         }
         const std::string order = body["order"].dump();
-        if (!pass_fence("order", body.value("fencing", std::uint64_t{0})))
+        if (!accept_fencing_number("order", body.value("fencing", std::uint64_t{0})))
         {
             exchange.respond(json_error(status_conflict, "order is too old"));
             return;
@@ -263,7 +265,7 @@
         exchange.respond(json_response(status_ok, json{{"taken", order}}.dump()));
     }
 
-    void take_faults(const http_request& request, http_exchange& exchange)
+    void handle_faults(const http_request& request, http_exchange& exchange)
     {
         const json body = json::parse(request.body, nullptr, false);
         if (!body.is_object())
@@ -275,20 +277,20 @@
         {
             std::_Exit(EXIT_FAILURE);
         }
-        catch_up();
+        advance_engine();
         m_engine.set_slowdown(body.value("slow", 1.0));
         m_streams.drop_after(body.value("drop_after", std::uint64_t{0}), body.value("drops", 0U));
         m_hanging = body.value("hang", false);
         exchange.respond(json_response(status_ok, "{}"));
-        schedule();
+        schedule_step();
     }
 
     /// @return whether an order of this number may be taken
-    bool pass_fence(const std::string& about, std::uint64_t number)
+    bool accept_fencing_number(const std::string& scope, std::uint64_t fencing_number)
     {
-        std::uint64_t& newest = m_newest_order[about];
-        const bool stale = number < newest;
-        newest = std::max(newest, number);
+        std::uint64_t& highest = m_highest_fencing[scope];
+        const bool stale = fencing_number < highest;
+        highest = std::max(highest, fencing_number);
         return !stale || !m_options.check_fencing;
     }
 
@@ -299,25 +301,25 @@
     }
 
     /// Runs the engine up to the present and tells the streams.
-    void catch_up()
+    void advance_engine()
     {
         for (const auto& event : m_engine.advance(now()))
         {
-            std::visit([this](const auto& it) { tell(it); }, event);
+            std::visit([this](const auto& it) { deliver_event(it); }, event);
         }
     }
 
-    void tell(const token_event& event)
+    void deliver_event(const token_event& event)
     {
         m_streams.add_token(event);
     }
 
-    void tell(const finished_event& event)
+    void deliver_event(const finished_event& event)
     {
         m_streams.finish(event.stream, event.usage, event.too_long ? "too_long" : "stop");
     }
 
-    void schedule()
+    void schedule_step()
     {
         const auto next = m_engine.next_event_time();
         if (!next || m_hanging || m_stopped)
@@ -331,14 +333,14 @@
             {
                 if (!ec && !self->m_hanging)
                 {
-                    self->catch_up();
-                    self->schedule();
+                    self->advance_engine();
+                    self->schedule_step();
                 }
             });
     }
 
     /// Reads load and cache anew after each lag.
-    void watch_load()
+    void schedule_load_refresh()
     {
         m_load_timer.expires_after(m_options.load_lag);
         m_load_timer.async_wait(
@@ -346,9 +348,9 @@
             {
                 if (!ec && !self->m_stopped)
                 {
-                    self->m_load = self->m_engine.load();
-                    self->m_events.observe(self->m_engine.held(), self->now());
-                    self->watch_load();
+                    self->m_reported_load = self->m_engine.load();
+                    self->m_events.observe(self->m_engine.cached_programs(), self->now());
+                    self->schedule_load_refresh();
                 }
             });
     }
@@ -359,9 +361,9 @@
     cache_events m_events;
     boost::asio::steady_timer m_step_timer;
     boost::asio::steady_timer m_load_timer;
-    engine_load m_load;
+    engine_load m_reported_load;
     std::chrono::steady_clock::time_point m_start = std::chrono::steady_clock::now();
-    std::map<std::string, std::uint64_t> m_newest_order;
+    std::map<std::string, std::uint64_t> m_highest_fencing;
     bool m_hanging = false;
     bool m_stopped = false;
     /// Requests that came while the engine hung; they never get an answer.
--- a/standins/engine_model.hpp
+++ b/standins/engine_model.hpp
@@ -116,9 +116,9 @@
     bool import_prefix(const program_id& program, const std::string& bytes, core_time now);
 
     /// @return the full listing: all programs that hold memory
-    [[nodiscard]] std::vector<cached_program> held() const
+    [[nodiscard]] std::vector<cached_program> cached_programs() const
     {
-        return m_cache.held();
+        return m_cache.cached_programs();
     }
 
     [[nodiscard]] engine_load load() const;
@@ -143,11 +143,11 @@
         token_count prompt_tokens = 0;
         token_count cached_tokens = 0;
         /// Prompt tokens still to compute, and how many of them the step under way computes.
-        token_count to_prefill = 0;
-        token_count in_step = 0;
+        token_count remaining_prefill = 0;
+        token_count scheduled_prefill = 0;
         std::size_t next_segment = 0;
-        token_count next_segment_left = 0;
-        token_count answer_length = 0;
+        token_count next_segment_remaining = 0;
+        token_count completion_length = 0;
         token_count generated = 0;
         /// Whether the step under way decodes a token of it.
         bool decoding = false;
@@ -156,11 +156,11 @@
     void admit(core_time now, std::vector<engine_event>& events);
     void activate(sequence& s, core_time now);
     void begin_step(core_time now, std::vector<engine_event>& events);
-    void share_prefill();
+    void schedule_prefill();
     void finish_step(core_time now, std::vector<engine_event>& events);
     void prefill(sequence& s);
     void decode(sequence& s, core_time now, std::vector<engine_event>& events);
-    void retire(sequence& s, bool keep_answer, core_time now);
+    void retire(sequence& s, bool cache_completion, core_time now);
     [[nodiscard]] core_duration step_duration() const;
 
     engine_options m_options;
@@ -170,7 +170,7 @@
     std::vector<sequence> m_running;
     std::optional<core_time> m_step_end;
     /// Events of a step that began outside of @ref advance.
-    std::vector<engine_event> m_early;
+    std::vector<engine_event> m_pending_events;
 };
 
 } // namespace masticcourse::standins
--- a/standins/engine_streams.cpp
+++ b/standins/engine_streams.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-bool engine_streams::open(const stream_id& id)
+bool engine_streams::create(const stream_id& id)
 {
     return m_streams.try_emplace(id).second;
 }
@@ -28,12 +28,12 @@
     return m_streams.contains(id);
 }
 
-void engine_streams::listen(const stream_id& id, std::optional<std::uint64_t> last,
-                            std::shared_ptr<http_exchange> exchange)
+void engine_streams::subscribe(const stream_id& id, std::optional<std::uint64_t> last_event_id,
+                               std::shared_ptr<http_exchange> exchange)
 {
     stream& s = m_streams.at(id);
     exchange->begin_stream(status_ok, {});
-    const std::uint64_t first = last ? *last + 1 : 0;
+    const std::uint64_t first = last_event_id ? *last_event_id + 1 : 0;
     for (std::uint64_t n = first; n < s.events.size(); ++n)
     {
         exchange->write(s.events[n]);
@@ -43,7 +43,7 @@
         exchange->end_stream();
         return;
     }
-    s.listeners.push_back(std::move(exchange));
+    s.subscribers.push_back(std::move(exchange));
 }
 
 void engine_streams::add_token(const token_event& event)
@@ -53,12 +53,12 @@
     {
         return;
     }
-    add(it->second, nlohmann::json{{"token", event.text}}.dump());
-    if (m_drop_count > 0 && event.index >= m_drop_tokens)
+    append_event(it->second, nlohmann::json{{"token", event.text}}.dump());
+    if (m_drops_remaining > 0 && event.index >= m_drop_threshold)
     {
         // An exchange that is dropped closes its connection.
-        m_drop_count -= 1;
-        it->second.listeners.clear();
+        m_drops_remaining -= 1;
+        it->second.subscribers.clear();
     }
 }
 
@@ -70,12 +70,12 @@
         return;
     }
     stream& s = it->second;
-    const nlohmann::json counts{
+    const nlohmann::json usage_json{
         {"prompt", usage.prompt}, {"cached", usage.cached}, {"completion", usage.completion}};
-    add(s, nlohmann::json{{"finish", reason}, {"usage", counts}}.dump());
+    append_event(s, nlohmann::json{{"finish", reason}, {"usage", usage_json}}.dump());
     s.finished = true;
-    std::ranges::for_each(s.listeners, [](const auto& listener) { listener->end_stream(); });
-    s.listeners.clear();
+    std::ranges::for_each(s.subscribers, [](const auto& subscriber) { subscriber->end_stream(); });
+    s.subscribers.clear();
     m_finished.push_back(id);
     if (m_finished.size() > max_finished)
     {
@@ -86,14 +86,15 @@
 
 void engine_streams::drop_after(std::uint64_t tokens, std::uint32_t count)
 {
-    m_drop_tokens = tokens;
-    m_drop_count = count;
+    m_drop_threshold = tokens;
+    m_drops_remaining = count;
 }
 
-void engine_streams::add(stream& s, const std::string& data)
+void engine_streams::append_event(stream& s, const std::string& data)
 {
     s.events.push_back(format_sse({.id = std::to_string(s.events.size()), .event = {}, .data = data}));
-    std::ranges::for_each(s.listeners, [&s](const auto& listener) { listener->write(s.events.back()); });
+    std::ranges::for_each(s.subscribers,
+                          [&s](const auto& subscriber) { subscriber->write(s.events.back()); });
 }
 
 } // namespace masticcourse::standins
--- a/standins/engine_streams.hpp
+++ b/standins/engine_streams.hpp
@@ -21,13 +21,13 @@
 {
   public:
     /// @return false if there is a stream of that name
-    bool open(const stream_id& id);
+    bool create(const stream_id& id);
 
     [[nodiscard]] bool contains(const stream_id& id) const;
 
     /// Sends a listener all events after @a last, and what comes later.
-    void listen(const stream_id& id, std::optional<std::uint64_t> last,
-                std::shared_ptr<http_exchange> exchange);
+    void subscribe(const stream_id& id, std::optional<std::uint64_t> last_event_id,
+                   std::shared_ptr<http_exchange> exchange);
 
     void add_token(const token_event& event);
 
@@ -42,16 +42,16 @@
     {
         std::vector<std::string> events;
         bool finished = false;
-        std::vector<std::shared_ptr<http_exchange>> listeners;
+        std::vector<std::shared_ptr<http_exchange>> subscribers;
     };
 
-    void add(stream& s, const std::string& data);
+    void append_event(stream& s, const std::string& data);
 
     std::map<stream_id, stream> m_streams;
     /// Finished streams, oldest first.
     std::deque<stream_id> m_finished;
-    std::uint64_t m_drop_tokens = 0;
-    std::uint32_t m_drop_count = 0;
+    std::uint64_t m_drop_threshold = 0;
+    std::uint32_t m_drops_remaining = 0;
 };
 
 } // namespace masticcourse::standins
--- a/standins/faulty_store.cpp
+++ b/standins/faulty_store.cpp
@@ -12,82 +12,84 @@
 
 } // namespace
 
-void faulty_store::send(store_op op, answer_handler handler)
+void faulty_store::send(store_op op, reply_handler handler)
 {
-    m_waiting.push_back({std::move(op), std::move(handler)});
+    m_pending.push_back({std::move(op), std::move(handler)});
 }
 
-faulty_store::waiting_op faulty_store::take(std::size_t which)
+faulty_store::pending_op faulty_store::take(std::size_t index)
 {
-    const auto at = m_waiting.begin() + static_cast<difference>(which % m_waiting.size());
-    waiting_op result = std::move(*at);
-    m_waiting.erase(at);
+    const auto position = m_pending.begin() + static_cast<difference>(index % m_pending.size());
+    pending_op result = std::move(*position);
+    m_pending.erase(position);
     return result;
 }
 
-std::size_t faulty_store::waiting() const
+std::size_t faulty_store::pending_count() const
 {
-    return m_waiting.size();
+    return m_pending.size();
 }
 
-void faulty_store::deliver(std::size_t which, op_fate fate, core_time now)
+void faulty_store::deliver(std::size_t index, op_outcome outcome, core_time now)
 {
-    if (m_waiting.empty())
+    if (m_pending.empty())
     {
         return;
     }
-    const waiting_op taken = take(which);
-    ++m_fates.at(static_cast<std::size_t>(fate));
+    const pending_op pending = take(index);
+    ++m_outcome_counts.at(static_cast<std::size_t>(outcome));
     store_reply reply{.status = store_status::outcome_unknown};
-    switch (fate)
+    switch (outcome)
     {
-    case op_fate::answered:
-        reply = carry_out(taken.op, now);
+    case op_outcome::completed:
+        reply = execute(pending.op, now);
         break;
-    case op_fate::refused:
+    case op_outcome::refused:
         reply.status = store_status::unavailable;
         break;
-    case op_fate::done_but_lost:
-        static_cast<void>(carry_out(taken.op, now));
+    case op_outcome::response_lost:
+        static_cast<void>(execute(pending.op, now));
         break;
-    case op_fate::late:
-        m_late.push_back(taken.op);
+    case op_outcome::request_delayed:
+        m_delayed_requests.push_back(pending.op);
         break;
-    case op_fate::slow:
-        m_slow.push_back({.reply = carry_out(taken.op, now), .handler = taken.handler});
+    case op_outcome::response_delayed:
+        m_delayed_responses.push_back({.reply = execute(pending.op, now), .handler = pending.handler});
         return;
-    case op_fate::dropped:
+    case op_outcome::request_lost:
         break;
     }
-    taken.handler(reply);
+    pending.handler(reply);
 }
 
-void faulty_store::deliver_late(std::size_t which, core_time now)
+void faulty_store::apply_delayed_request(std::size_t index, core_time now)
 {
-    if (!m_late.empty())
+    if (!m_delayed_requests.empty())
     {
-        const auto at = m_late.begin() + static_cast<difference>(which % m_late.size());
-        static_cast<void>(carry_out(*at, now));
-        m_late.erase(at);
+        const auto position =
+            m_delayed_requests.begin() + static_cast<difference>(index % m_delayed_requests.size());
+        static_cast<void>(execute(*position, now));
+        m_delayed_requests.erase(position);
     }
 }
 
-bool faulty_store::deliver_slow(std::size_t which)
+bool faulty_store::deliver_delayed_response(std::size_t index)
 {
-    if (m_slow.empty())
+    if (m_delayed_responses.empty())
     {
         return false;
     }
-    const auto at = m_slow.begin() + static_cast<difference>(which % m_slow.size());
-    const slow_answer taken = std::move(*at);
-    m_slow.erase(at);
-    taken.handler(taken.reply);
+    const auto position =
+        m_delayed_responses.begin() + static_cast<difference>(index % m_delayed_responses.size());
+    const delayed_response pending = std::move(*position);
+    m_delayed_responses.erase(position);
+    pending.handler(pending.reply);
     return true;
 }
 
-const std::array<std::uint64_t, fate_count>& faulty_store::fates() const
+const std::array<std::uint64_t, op_outcome_count>& faulty_store::outcome_counts() const
 {
-    return m_fates;
+    return m_outcome_counts;
 }
 
 platform_store& faulty_store::store()
@@ -95,7 +97,7 @@
     return m_store;
 }
 
-store_reply faulty_store::carry_out(const store_op& op, core_time now)
+store_reply faulty_store::execute(const store_op& op, core_time now)
 {
     auto reply = m_store.apply(op, now);
     if (observer)
--- a/standins/faulty_store.hpp
+++ b/standins/faulty_store.hpp
@@ -18,57 +18,57 @@
 {
 
 /// What becomes of one operation.
-enum class op_fate : std::uint8_t
+enum class op_outcome : std::uint8_t
 {
-    answered,
+    completed,
     /// Refused, nothing done.
     refused,
     /// Done, but the answer is lost.
-    done_but_lost,
+    response_lost,
     /// Not done, and no answer.
-    dropped,
+    request_lost,
     /// No answer, and the store gets the operation at some later time.
-    late,
+    request_delayed,
     /// Done, and the answer comes at some later time, when things may have changed.
-    slow,
+    response_delayed,
 };
 
-inline constexpr std::size_t fate_count = 6;
+inline constexpr std::size_t op_outcome_count = 6;
 
 /// Takes operations from any number of state machines.
 class faulty_store
 {
   public:
-    using answer_handler = std::function<void(const store_reply&)>;
+    using reply_handler = std::function<void(const store_reply&)>;
 
-    struct waiting_op
+    struct pending_op
     {
         store_op op;
-        answer_handler handler;
+        reply_handler handler;
     };
 
     /// Puts an operation on its way.
-    void send(store_op op, answer_handler handler);
+    void send(store_op op, reply_handler handler);
 
     /// Takes one of the waiting operations back, to send it again later.
-    [[nodiscard]] waiting_op take(std::size_t which);
+    [[nodiscard]] pending_op take(std::size_t index);
 
     /// @return number of operations on their way, without late ones
-    [[nodiscard]] std::size_t waiting() const;
+    [[nodiscard]] std::size_t pending_count() const;
 
     /// Lets one of the waiting operations have its fate, and tells its sender unless nothing comes back at
     /// all.
-    void deliver(std::size_t which, op_fate fate, core_time now);
+    void deliver(std::size_t index, op_outcome outcome, core_time now);
 
     /// Lets the store get one of the late operations, if there are any.
-    void deliver_late(std::size_t which, core_time now);
+    void apply_delayed_request(std::size_t index, core_time now);
 
     /// Hands over one of the slow answers, if there are any.
     /// @return whether there was one
-    bool deliver_slow(std::size_t which);
+    bool deliver_delayed_response(std::size_t index);
 
     /// @return how often each fate was met
-    [[nodiscard]] const std::array<std::uint64_t, fate_count>& fates() const;
+    [[nodiscard]] const std::array<std::uint64_t, op_outcome_count>& outcome_counts() const;
 
     [[nodiscard]] platform_store& store();
 
@@ -76,25 +76,25 @@
     std::function<void(const store_op&, const store_reply&)> observer;
 
   private:
-    struct slow_answer
+    struct delayed_response
     {
         store_reply reply;
-        answer_handler handler;
+        reply_handler handler;
     };
 
-    store_reply carry_out(const store_op& op, core_time now);
+    store_reply execute(const store_op& op, core_time now);
 
     platform_store m_store;
-    std::vector<waiting_op> m_waiting;
-    std::vector<store_op> m_late;
-    std::vector<slow_answer> m_slow;
-    std::array<std::uint64_t, fate_count> m_fates{};
+    std::vector<pending_op> m_pending;
+    std::vector<store_op> m_delayed_requests;
+    std::vector<delayed_response> m_delayed_responses;
+    std::array<std::uint64_t, op_outcome_count> m_outcome_counts{};
 };
 
 /// Sends what a state machine asks for, if anything.
 /// @param machine must outlive the answer
 template <typename Machine>
-bool pump(Machine& machine, faulty_store& store, core_time& now)
+bool send_next(Machine& machine, faulty_store& store, core_time& now)
 {
     auto op = machine.poll(now);
     if (op)
@@ -107,14 +107,14 @@
 
 /// Runs a state machine against a store that answers everything, until it asks for nothing more.
 template <typename Machine>
-void run_to_end(Machine& machine, faulty_store& store, core_time& now)
+void run_to_completion(Machine& machine, faulty_store& store, core_time& now)
 {
-    constexpr int most_steps = 100000;
-    for (int n = 0; n < most_steps; ++n)
+    constexpr int max_steps = 100000;
+    for (int n = 0; n < max_steps; ++n)
     {
-        if (pump(machine, store, now))
+        if (send_next(machine, store, now))
         {
-            store.deliver(store.waiting() - 1, op_fate::answered, now);
+            store.deliver(store.pending_count() - 1, op_outcome::completed, now);
         }
         else if (machine.next_wakeup() == core_time::max())
         {
--- a/standins/model_engine_main.cpp
+++ b/standins/model_engine_main.cpp
@@ -19,7 +19,7 @@
 using namespace masticcourse;
 using namespace masticcourse::standins;
 
-po::options_description describe(std::string& address, engine_http_options& options)
+po::options_description make_options_description(std::string& address, engine_http_options& options)
 {
     po::options_description all{"model-engine: a stand-in for a model engine"};
     auto& engine = options.engine;
@@ -42,19 +42,19 @@
     return all;
 }
 
-void read_durations(const po::variables_map& given, engine_http_options& options)
+void apply_durations(const po::variables_map& variables, engine_http_options& options)
 {
-    if (given.contains("decode-step-us"))
+    if (variables.contains("decode-step-us"))
     {
-        options.engine.decode_step = core_duration{given["decode-step-us"].as<std::int64_t>()};
+        options.engine.decode_step = core_duration{variables["decode-step-us"].as<std::int64_t>()};
     }
-    if (given.contains("load-lag-ms"))
+    if (variables.contains("load-lag-ms"))
     {
-        options.load_lag = std::chrono::milliseconds{given["load-lag-ms"].as<std::int64_t>()};
+        options.load_lag = std::chrono::milliseconds{variables["load-lag-ms"].as<std::int64_t>()};
     }
-    if (given.contains("event-delay-ms"))
+    if (variables.contains("event-delay-ms"))
     {
-        options.event_delay = std::chrono::milliseconds{given["event-delay-ms"].as<std::int64_t>()};
+        options.event_delay = std::chrono::milliseconds{variables["event-delay-ms"].as<std::int64_t>()};
     }
 }
 
@@ -66,16 +66,16 @@
     {
         std::string address;
         engine_http_options options;
-        const auto all = describe(address, options);
-        po::variables_map given;
-        po::store(po::parse_command_line(argc, argv, all), given);
-        po::notify(given);
-        if (given.contains("help"))
+        const auto all = make_options_description(address, options);
+        po::variables_map variables;
+        po::store(po::parse_command_line(argc, argv, all), variables);
+        po::notify(variables);
+        if (variables.contains("help"))
         {
             std::cout << all;
             return EXIT_SUCCESS;
         }
-        read_durations(given, options);
+        apply_durations(variables, options);
         boost::asio::io_context context{1};
         engine_http engine{context, options};
         const http_server server{
--- a/standins/plain_service.cpp
+++ b/standins/plain_service.cpp
@@ -19,13 +19,13 @@
 constexpr int status_not_found = 404;
 constexpr int status_failed = 500;
 
-bool use_one(std::uint32_t& left)
+bool consume_one(std::uint32_t& remaining)
 {
-    if (left == 0)
+    if (remaining == 0)
     {
         return false;
     }
-    left -= 1;
+    remaining -= 1;
     return true;
 }
 
@@ -42,7 +42,7 @@
     }
     else if (path == std::vector<std::string>{"stats"})
     {
-        exchange->respond(json_response(status_ok, stats()));
+        exchange->respond(json_response(status_ok, stats_json()));
     }
     else if (path == std::vector<std::string>{"faults"} && request.method == "GET")
     {
@@ -50,7 +50,7 @@
     }
     else if (path == std::vector<std::string>{"faults"})
     {
-        take_faults(request, *exchange);
+        handle_faults(request, *exchange);
     }
     else
     {
@@ -58,7 +58,7 @@
     }
 }
 
-std::string plain_service::output_of(const std::string& key, const std::string& input)
+std::string plain_service::make_output(const std::string& key, const std::string& input)
 {
     return "done " + key + ": " + input;
 }
@@ -76,23 +76,23 @@
         m_unanswered.push_back(std::move(exchange));
         return;
     }
-    if (use_one(m_faults.fail_next))
+    if (consume_one(m_faults.fail_next))
     {
         exchange->respond(json_error(status_failed, "failed on command"));
         return;
     }
     const auto key = body.value("key", std::string{});
     m_runs[{.program = body.value("program", std::string{}), .key = key}] += 1;
-    if (use_one(m_faults.lose_answers))
+    if (consume_one(m_faults.lose_answers))
     {
         // An exchange that is dropped closes its connection.
         return;
     }
-    const std::string output = output_of(key, body.value("input", std::string{}));
-    answer(std::move(exchange), json_response(status_ok, json{{"output", output}}.dump()));
+    const std::string output = make_output(key, body.value("input", std::string{}));
+    send_response(std::move(exchange), json_response(status_ok, json{{"output", output}}.dump()));
 }
 
-void plain_service::answer(std::shared_ptr<http_exchange> exchange, http_response response)
+void plain_service::send_response(std::shared_ptr<http_exchange> exchange, http_response response)
 {
     if (m_faults.delay == std::chrono::milliseconds::zero())
     {
@@ -104,7 +104,7 @@
                       { exchange->respond(response); });
 }
 
-void plain_service::take_faults(const http_request& request, http_exchange& exchange)
+void plain_service::handle_faults(const http_request& request, http_exchange& exchange)
 {
     const json body = json::parse(request.body, nullptr, false);
     if (!body.is_object())
@@ -119,7 +119,7 @@
     exchange.respond(json_response(status_ok, "{}"));
 }
 
-std::string plain_service::stats() const
+std::string plain_service::stats_json() const
 {
     json list = json::array();
     for (const auto& [name, runs] : m_runs)
--- a/standins/plain_service.hpp
+++ b/standins/plain_service.hpp
@@ -42,24 +42,24 @@
     void handle(const http_request& request, std::shared_ptr<http_exchange> exchange);
 
     /// @return the output of a request that ran
-    [[nodiscard]] static std::string output_of(const std::string& key, const std::string& input);
+    [[nodiscard]] static std::string make_output(const std::string& key, const std::string& input);
 
   private:
-    struct request_name
+    struct request_key
     {
         std::string program;
         std::string key;
-        friend auto operator<=>(const request_name&, const request_name&) = default;
+        friend auto operator<=>(const request_key&, const request_key&) = default;
     };
 
     void invoke(const http_request& request, std::shared_ptr<http_exchange> exchange);
-    void answer(std::shared_ptr<http_exchange> exchange, http_response response);
-    void take_faults(const http_request& request, http_exchange& exchange);
-    [[nodiscard]] std::string stats() const;
+    void send_response(std::shared_ptr<http_exchange> exchange, http_response response);
+    void handle_faults(const http_request& request, http_exchange& exchange);
+    [[nodiscard]] std::string stats_json() const;
 
     boost::asio::io_context& m_context;
     service_faults m_faults;
-    std::map<request_name, std::uint64_t> m_runs;
+    std::map<request_key, std::uint64_t> m_runs;
     std::vector<std::shared_ptr<http_exchange>> m_unanswered;
 };
 
--- a/standins/plain_service_main.cpp
+++ b/standins/plain_service_main.cpp
@@ -22,10 +22,10 @@
         all.add_options()("help", "print this help");
         all.add_options()("listen", po::value(&address)->default_value("127.0.0.1:0"),
                           "ip:port; port 0: any");
-        po::variables_map given;
-        po::store(po::parse_command_line(argc, argv, all), given);
-        po::notify(given);
-        if (given.contains("help"))
+        po::variables_map variables;
+        po::store(po::parse_command_line(argc, argv, all), variables);
+        po::notify(variables);
+        if (variables.contains("help"))
         {
             std::cout << all;
             return EXIT_SUCCESS;
--- a/standins/platform_store.cpp
+++ b/standins/platform_store.cpp
@@ -18,15 +18,15 @@
 
 } // namespace
 
-bool token_bucket::take(double per_second, core_time now)
+bool token_bucket::try_acquire(double per_second, core_time now)
 {
-    if (!m_last)
+    if (!m_last_refill)
     {
         m_tokens = per_second;
     }
-    const auto since = m_last ? now - *m_last : core_duration{};
-    m_last = now;
-    const auto seconds = std::chrono::duration<double>{since}.count();
+    const auto elapsed = m_last_refill ? now - *m_last_refill : core_duration{};
+    m_last_refill = now;
+    const auto seconds = std::chrono::duration<double>{elapsed}.count();
     m_tokens = std::min(per_second, m_tokens + per_second * seconds);
     if (m_tokens < 1)
     {
@@ -45,7 +45,7 @@
         return {.status = store_status::unavailable};
     }
     ++(write ? m_stats.writes : m_stats.reads);
-    auto reply = std::visit([this](const auto& it) { return run(it); }, op);
+    auto reply = std::visit([this](const auto& it) { return execute(it); }, op);
     m_stats.conflicts += reply.status == store_status::conflict ? 1 : 0;
     if (m_faults.lose_answers > 0)
     {
@@ -75,10 +75,10 @@
 {
     const auto& rate = write ? m_faults.writes_per_second : m_faults.reads_per_second;
     auto& bucket = write ? m_write_bucket : m_read_bucket;
-    return !m_faults.outage && (!rate || bucket.take(*rate, now));
+    return !m_faults.outage && (!rate || bucket.try_acquire(*rate, now));
 }
 
-store_reply platform_store::run(const table_get& op)
+store_reply platform_store::execute(const table_get& op)
 {
     const auto it = m_rows.find(op.key);
     if (it == m_rows.end())
@@ -88,19 +88,19 @@
     return {.version = it->second.version, .value = it->second.value};
 }
 
-store_reply platform_store::run(const table_put& op)
+store_reply platform_store::execute(const table_put& op)
 {
     const auto it = m_rows.find(op.key);
-    const row_version present = it != m_rows.end() ? it->second.version : 0;
-    if (present != op.expected)
+    const row_version current_version = it != m_rows.end() ? it->second.version : 0;
+    if (current_version != op.expected)
     {
-        return {.status = store_status::conflict, .version = present};
+        return {.status = store_status::conflict, .version = current_version};
     }
-    m_rows[op.key] = {.value = op.value, .version = present + 1};
-    return {.version = present + 1};
+    m_rows[op.key] = {.value = op.value, .version = current_version + 1};
+    return {.version = current_version + 1};
 }
 
-store_reply platform_store::run(const table_list& op)
+store_reply platform_store::execute(const table_list& op)
 {
     store_reply reply;
     for (auto it = m_rows.lower_bound(op.prefix); it != m_rows.end() && it->first.starts_with(op.prefix);
@@ -111,13 +111,13 @@
     return reply;
 }
 
-store_reply platform_store::run(const object_create& op)
+store_reply platform_store::execute(const object_create& op)
 {
-    const bool fresh = m_objects.emplace(op.key, op.bytes).second;
-    return {.status = fresh ? store_status::ok : store_status::conflict};
+    const bool inserted = m_objects.emplace(op.key, op.bytes).second;
+    return {.status = inserted ? store_status::ok : store_status::conflict};
 }
 
-store_reply platform_store::run(const object_get& op)
+store_reply platform_store::execute(const object_get& op)
 {
     const auto it = m_objects.find(op.key);
     if (it == m_objects.end())
@@ -127,13 +127,13 @@
     return {.value = it->second};
 }
 
-store_reply platform_store::run(const object_delete& op)
+store_reply platform_store::execute(const object_delete& op)
 {
     m_objects.erase(op.key);
     return {};
 }
 
-store_reply platform_store::run(const object_list& op)
+store_reply platform_store::execute(const object_list& op)
 {
     store_reply reply;
     for (auto it = m_objects.lower_bound(op.prefix);
--- a/standins/platform_store.hpp
+++ b/standins/platform_store.hpp
@@ -44,11 +44,11 @@
 {
   public:
     /// @return whether one more operation is within @a per_second at @a now
-    [[nodiscard]] bool take(double per_second, core_time now);
+    [[nodiscard]] bool try_acquire(double per_second, core_time now);
 
   private:
     double m_tokens = 0;
-    std::optional<core_time> m_last;
+    std::optional<core_time> m_last_refill;
 };
 
 /// The store itself. Not thread-safe.
@@ -65,13 +65,13 @@
 
   private:
     [[nodiscard]] bool admit(bool write, core_time now);
-    [[nodiscard]] store_reply run(const table_get& op);
-    [[nodiscard]] store_reply run(const table_put& op);
-    [[nodiscard]] store_reply run(const table_list& op);
-    [[nodiscard]] store_reply run(const object_create& op);
-    [[nodiscard]] store_reply run(const object_get& op);
-    [[nodiscard]] store_reply run(const object_delete& op);
-    [[nodiscard]] store_reply run(const object_list& op);
+    [[nodiscard]] store_reply execute(const table_get& op);
+    [[nodiscard]] store_reply execute(const table_put& op);
+    [[nodiscard]] store_reply execute(const table_list& op);
+    [[nodiscard]] store_reply execute(const object_create& op);
+    [[nodiscard]] store_reply execute(const object_get& op);
+    [[nodiscard]] store_reply execute(const object_delete& op);
+    [[nodiscard]] store_reply execute(const object_list& op);
 
     struct row
     {
--- a/standins/platform_store_main.cpp
+++ b/standins/platform_store_main.cpp
@@ -5,12 +5,12 @@
 int main(int argc, char** argv)
 {
     using namespace masticcourse;
-    const auto make = [](boost::asio::io_context& context) -> http_handler
+    const auto make_handler = [](boost::asio::io_context& context) -> http_handler
     {
         auto service = std::make_shared<standins::store_http>(context);
         return [service](const http_request& request, const std::shared_ptr<http_exchange>& exchange)
         { service->handle(request, exchange); };
     };
     return standins::standin_main(argc, argv, "platform-store: a stand-in for the platform's store", {},
-                                  make);
+                                  make_handler);
 }
--- a/standins/platform_target.cpp
+++ b/standins/platform_target.cpp
@@ -12,16 +12,16 @@
 {
 
 /// Events of one answer.
-constexpr int event_count = 3;
+constexpr int events_per_response = 3;
 
 } // namespace
 
 platform_target::platform_target(boost::asio::io_context& context, const std::string& address, std::string id,
-                                 bool streams)
-    : m_id(std::move(id)), m_streams(streams),
+                                 bool streaming)
+    : m_incarnation(std::move(id)), m_streaming(streaming),
       m_server(std::make_unique<http_server>(context, address, http_limits{},
                                              [this](const auto& request, const auto& exchange)
-                                             { serve(request, *exchange); }))
+                                             { handle_request(request, *exchange); }))
 {
 }
 
@@ -45,11 +45,11 @@
     return m_requests;
 }
 
-void platform_target::serve(const http_request& request, http_exchange& exchange)
+void platform_target::handle_request(const http_request& request, http_exchange& exchange)
 {
     constexpr int misdirected = 421;
     const auto id = request.header("Masticcourse-Request-Id").value_or("");
-    if (request.header("Masticcourse-Expect-Instance").value_or(m_id) != m_id)
+    if (request.header("Masticcourse-Expect-Instance").value_or(m_incarnation) != m_incarnation)
     {
         exchange.respond({.status = misdirected, .body = "{}", .headers = {{"Masticcourse-Request-Id", id}}});
         return;
@@ -59,15 +59,15 @@
         m_requests.push_back(request);
     }
     const std::vector<http_header> headers{{"Masticcourse-Request-Id", id},
-                                           {"Masticcourse-Response-Signature", "by-" + m_id},
+                                           {"Masticcourse-Response-Signature", "by-" + m_incarnation},
                                            {"Masticcourse-Instance-Load", "1,0,4"}};
-    if (!m_streams)
+    if (!m_streaming)
     {
         exchange.respond({.body = "answer to " + id, .headers = headers});
         return;
     }
     exchange.begin_stream(200, headers);
-    for (int n = 1; n <= event_count; ++n)
+    for (int n = 1; n <= events_per_response; ++n)
     {
         exchange.write(format_sse({.id = std::to_string(n), .data = id + "-" + std::to_string(n)}));
     }
--- a/standins/platform_target.hpp
+++ b/standins/platform_target.hpp
@@ -25,7 +25,7 @@
     /// @param id      its incarnation
     /// @param streams whether it answers by events
     platform_target(boost::asio::io_context& context, const std::string& address, std::string id,
-                    bool streams);
+                    bool streaming);
 
     [[nodiscard]] std::uint16_t port() const;
     /// @return its entry in the registry of targets
@@ -34,10 +34,10 @@
     [[nodiscard]] std::vector<http_request> requests() const;
 
   private:
-    void serve(const http_request& request, http_exchange& exchange);
+    void handle_request(const http_request& request, http_exchange& exchange);
 
-    std::string m_id;
-    bool m_streams;
+    std::string m_incarnation;
+    bool m_streaming;
     mutable std::mutex m_mutex;
     std::vector<http_request> m_requests;
     std::unique_ptr<http_server> m_server;
--- a/standins/prefix_cache.cpp
+++ b/standins/prefix_cache.cpp
@@ -9,21 +9,21 @@
 namespace masticcourse::standins
 {
 
-std::vector<prompt_segment> segments_of(const std::vector<std::string>& prompt)
+std::vector<prompt_segment> to_segments(const std::vector<std::string>& prompt)
 {
     std::vector<prompt_segment> segments;
     segments.reserve(prompt.size());
     prefix_key parent = empty_prefix;
     for (const auto& text : prompt)
     {
-        const prefix_key key = extend_prefix(parent, text);
+        const prefix_key key = extend_prefix_key(parent, text);
         segments.push_back({.key = key, .parent = parent, .tokens = estimate_tokens(text)});
         parent = key;
     }
     return segments;
 }
 
-bool prefix_cache::abandoned(const node& n)
+bool prefix_cache::is_unreferenced(const node& n)
 {
     return n.holders.empty() && n.pins == 0 && n.children == 0;
 }
@@ -36,7 +36,7 @@
                                               [this](const prompt_segment& segment)
                                               {
                                                   const auto it = m_nodes.find(segment.key);
-                                                  return it != m_nodes.end() && it->second.ready;
+                                                  return it != m_nodes.end() && it->second.computed;
                                               });
     return static_cast<std::size_t>(end - prompt.begin());
 }
@@ -65,8 +65,8 @@
 {
     for (std::size_t n = 0; n < prompt.size(); ++n)
     {
-        node& segment = emplace(prompt[n]);
-        hold(segment, program);
+        node& segment = find_or_create(prompt[n]);
+        add_holder(segment, program);
         segment.pins += 1;
         segment.hit = segment.hit || n < cached;
         m_counters.reused += n < cached ? prompt[n].tokens : 0;
@@ -82,34 +82,34 @@
         node& segment = m_nodes.at(it.key);
         segment.pins -= 1;
         touch(segment, now);
-        const bool uncomputed = segment.pins == 0 && segment.children == 0 && !segment.ready;
-        if (uncomputed || abandoned(segment))
+        const bool uncomputed = segment.pins == 0 && segment.children == 0 && !segment.computed;
+        if (uncomputed || is_unreferenced(segment))
         {
             erase(it.key);
         }
     }
 }
 
-void prefix_cache::computed(const prompt_segment& segment)
+void prefix_cache::mark_computed(const prompt_segment& segment)
 {
     m_counters.prefilled += segment.tokens;
-    const bool first = m_computed_once.insert(segment.key).second;
-    m_counters.recomputed += first ? 0 : segment.tokens;
-    m_nodes.at(segment.key).ready = true;
+    const bool first_time = m_computed_keys.insert(segment.key).second;
+    m_counters.recomputed += first_time ? 0 : segment.tokens;
+    m_nodes.at(segment.key).computed = true;
 }
 
 bool prefix_cache::insert(const program_id& program, const prompt_segment& segment, core_time now)
 {
-    const bool orphan = segment.parent != empty_prefix && !m_nodes.contains(segment.parent);
-    const bool held = m_nodes.contains(segment.key);
-    if (orphan || (!held && m_used + segment.tokens > m_capacity))
+    const bool parent_missing = segment.parent != empty_prefix && !m_nodes.contains(segment.parent);
+    const bool already_cached = m_nodes.contains(segment.key);
+    if (parent_missing || (!already_cached && m_used + segment.tokens > m_capacity))
     {
         return false;
     }
-    node& n = emplace(segment);
-    hold(n, program);
-    n.ready = true;
-    m_computed_once.insert(segment.key);
+    node& n = find_or_create(segment);
+    add_holder(n, program);
+    n.computed = true;
+    m_computed_keys.insert(segment.key);
     touch(n, now);
     return true;
 }
@@ -126,13 +126,13 @@
 
 void prefix_cache::free_program(const program_id& program)
 {
-    const auto it = m_by_program.find(program);
-    if (it == m_by_program.end())
+    const auto it = m_program_keys.find(program);
+    if (it == m_program_keys.end())
     {
         return;
     }
     const std::set<prefix_key> keys = std::move(it->second);
-    m_by_program.erase(it);
+    m_program_keys.erase(it);
     std::vector<std::pair<std::uint32_t, prefix_key>> by_depth;
     for (const prefix_key key : keys)
     {
@@ -144,17 +144,17 @@
     for (const auto& [depth, key] : by_depth)
     {
         const auto n = m_nodes.find(key);
-        if (n != m_nodes.end() && abandoned(n->second))
+        if (n != m_nodes.end() && is_unreferenced(n->second))
         {
             erase(key);
         }
     }
 }
 
-std::vector<cached_program> prefix_cache::held() const
+std::vector<cached_program> prefix_cache::cached_programs() const
 {
     std::vector<cached_program> list;
-    for (const auto& [program, keys] : m_by_program)
+    for (const auto& [program, keys] : m_program_keys)
     {
         token_count tokens = 0;
         for (const prefix_key key : keys)
@@ -166,10 +166,10 @@
     return list;
 }
 
-std::vector<prompt_segment> prefix_cache::segments_held(const program_id& program) const
+std::vector<prompt_segment> prefix_cache::program_segments(const program_id& program) const
 {
-    const auto it = m_by_program.find(program);
-    if (it == m_by_program.end())
+    const auto it = m_program_keys.find(program);
+    if (it == m_program_keys.end())
     {
         return {};
     }
@@ -182,7 +182,7 @@
     std::vector<prompt_segment> segments;
     for (const node* n : nodes)
     {
-        if (n->ready)
+        if (n->computed)
         {
             segments.push_back(n->segment);
         }
@@ -190,11 +190,11 @@
     return segments;
 }
 
-prefix_cache::node& prefix_cache::emplace(const prompt_segment& segment)
+prefix_cache::node& prefix_cache::find_or_create(const prompt_segment& segment)
 {
-    const auto [it, fresh] = m_nodes.try_emplace(segment.key);
+    const auto [it, inserted] = m_nodes.try_emplace(segment.key);
     node& n = it->second;
-    if (!fresh)
+    if (!inserted)
     {
         return n;
     }
@@ -210,10 +210,10 @@
     return n;
 }
 
-void prefix_cache::hold(node& n, const program_id& program)
+void prefix_cache::add_holder(node& n, const program_id& program)
 {
     n.holders.insert(program);
-    m_by_program[program].insert(n.segment.key);
+    m_program_keys[program].insert(n.segment.key);
 }
 
 void prefix_cache::touch(node& n, core_time now)
@@ -244,21 +244,21 @@
     m_used -= n.segment.tokens;
     for (const auto& program : n.holders)
     {
-        const auto held = m_by_program.find(program);
-        held->second.erase(key);
-        if (held->second.empty())
+        const auto program_entry = m_program_keys.find(program);
+        program_entry->second.erase(key);
+        if (program_entry->second.empty())
         {
-            m_by_program.erase(held);
+            m_program_keys.erase(program_entry);
         }
     }
     const prefix_key parent = n.segment.parent;
     m_nodes.erase(it);
     if (parent != empty_prefix)
     {
-        node& above = m_nodes.at(parent);
-        above.children -= 1;
-        update_rank(above);
-        if (abandoned(above))
+        node& parent_node = m_nodes.at(parent);
+        parent_node.children -= 1;
+        update_rank(parent_node);
+        if (is_unreferenced(parent_node))
         {
             erase(parent);
         }
--- a/standins/prefix_cache.hpp
+++ b/standins/prefix_cache.hpp
@@ -42,7 +42,7 @@
 };
 
 /// @return the segments of a prompt, first to last
-[[nodiscard]] std::vector<prompt_segment> segments_of(const std::vector<std::string>& prompt);
+[[nodiscard]] std::vector<prompt_segment> to_segments(const std::vector<std::string>& prompt);
 
 /// The cache. Segments that a running sequence pins are never evicted.
 class prefix_cache
@@ -69,7 +69,7 @@
     void unpin(const std::vector<prompt_segment>& prompt, core_time now);
 
     /// A sequence has computed this pinned segment.
-    void computed(const prompt_segment& segment);
+    void mark_computed(const prompt_segment& segment);
 
     /// Holds a computed segment that nothing pins, if its parent is held and there is room.
     /// @return whether it is held
@@ -83,10 +83,10 @@
     void free_program(const program_id& program);
 
     /// @return all programs that hold memory, in order of their ids
-    [[nodiscard]] std::vector<cached_program> held() const;
+    [[nodiscard]] std::vector<cached_program> cached_programs() const;
 
     /// @return the computed segments of a program, parents first
-    [[nodiscard]] std::vector<prompt_segment> segments_held(const program_id& program) const;
+    [[nodiscard]] std::vector<prompt_segment> program_segments(const program_id& program) const;
 
     [[nodiscard]] token_count used() const
     {
@@ -110,7 +110,7 @@
         std::uint32_t depth = 0;
         std::uint32_t children = 0;
         std::uint32_t pins = 0;
-        bool ready = false;
+        bool computed = false;
         bool hit = false;
         core_time last_use;
         std::set<program_id> holders;
@@ -124,9 +124,9 @@
     };
 
     /// Nobody has a use for it any more.
-    [[nodiscard]] static bool abandoned(const node& n);
-    node& emplace(const prompt_segment& segment);
-    void hold(node& n, const program_id& program);
+    [[nodiscard]] static bool is_unreferenced(const node& n);
+    node& find_or_create(const prompt_segment& segment);
+    void add_holder(node& n, const program_id& program);
     void touch(node& n, core_time now);
     void update_rank(node& n);
     void erase(prefix_key key);
@@ -137,8 +137,8 @@
     cache_counters m_counters;
     std::unordered_map<prefix_key, node> m_nodes;
     std::set<eviction_rank> m_evictable;
-    std::map<program_id, std::set<prefix_key>> m_by_program;
-    std::unordered_set<prefix_key> m_computed_once;
+    std::map<program_id, std::set<prefix_key>> m_program_keys;
+    std::unordered_set<prefix_key> m_computed_keys;
 };
 
 } // namespace masticcourse::standins
--- a/standins/routes.cpp
+++ b/standins/routes.cpp
@@ -17,12 +17,12 @@
 std::vector<std::string> path_segments(const std::string& target)
 {
     std::vector<std::string> segments;
-    for (const auto part : std::views::split(split_target(target).path, '/'))
+    for (const auto component : std::views::split(split_target(target).path, '/'))
     {
-        const std::string_view text{part.begin(), part.end()};
-        if (!text.empty())
+        const std::string_view segment{component.begin(), component.end()};
+        if (!segment.empty())
         {
-            segments.push_back(percent_decode(text).value_or(""));
+            segments.push_back(percent_decode(segment).value_or(""));
         }
     }
     return segments;
@@ -33,9 +33,9 @@
     return {.status = status, .body = std::move(body)};
 }
 
-http_response json_error(int status, const std::string& what)
+http_response json_error(int status, const std::string& message)
 {
-    return json_response(status, nlohmann::json{{"error", what}}.dump());
+    return json_response(status, nlohmann::json{{"error", message}}.dump());
 }
 
 void serve_until_signal(boost::asio::io_context& context, const http_server& server)
--- a/standins/routes.hpp
+++ b/standins/routes.hpp
@@ -25,7 +25,7 @@
 [[nodiscard]] http_response json_response(int status, std::string body);
 
 /// @return `{"error": what}` with @a status
-[[nodiscard]] http_response json_error(int status, const std::string& what);
+[[nodiscard]] http_response json_error(int status, const std::string& message);
 
 /// Prints where a stand-in takes requests and runs it until SIGINT or SIGTERM, on one thread.
 void serve_until_signal(boost::asio::io_context& context, const http_server& server);
--- a/standins/standin_main.hpp
+++ b/standins/standin_main.hpp
@@ -23,23 +23,23 @@
 /// @param options what is read besides `--listen` and `--help`
 /// @param make    makes the handler once the options are read
 /// @return the exit code
-inline int standin_main(int argc, char** argv, const std::string& about,
+inline int standin_main(int argc, char** argv, const std::string& description,
                         const boost::program_options::options_description& options,
-                        const std::function<http_handler(boost::asio::io_context&)>& make)
+                        const std::function<http_handler(boost::asio::io_context&)>& make_handler)
 {
     namespace po = boost::program_options;
     try
     {
         std::string address;
-        po::options_description all{about};
+        po::options_description all{description};
         all.add_options()("help", "print this help");
         all.add_options()("listen", po::value(&address)->default_value("127.0.0.1:0"),
                           "ip:port; port 0: any");
         all.add(options);
-        po::variables_map given;
-        po::store(po::parse_command_line(argc, argv, all), given);
-        po::notify(given);
-        if (given.contains("help"))
+        po::variables_map variables;
+        po::store(po::parse_command_line(argc, argv, all), variables);
+        po::notify(variables);
+        if (variables.contains("help"))
         {
             std::cout << all;
             return EXIT_SUCCESS;
@@ -47,13 +47,13 @@
         boost::asio::io_context context{1};
         http_limits limits;
         limits.max_body = std::size_t{64} << 20U;
-        const http_server server{context, address, limits, make(context)};
+        const http_server server{context, address, limits, make_handler(context)};
         serve_until_signal(context, server);
         return EXIT_SUCCESS;
     }
     catch (const std::exception& error)
     {
-        std::cerr << about << ": " << error.what() << '\n';
+        std::cerr << description << ": " << error.what() << '\n';
         return EXIT_FAILURE;
     }
 }
--- a/standins/store_http.cpp
+++ b/standins/store_http.cpp
@@ -34,11 +34,11 @@
     {
         return 0;
     }
-    const auto tag = request.header("If-Match").value_or("");
-    const auto from = tag.find_first_not_of('"');
+    const auto etag = request.header("If-Match").value_or("");
+    const auto from = etag.find_first_not_of('"');
     row_version version = 0;
     if (from == std::string::npos ||
-        std::from_chars(tag.data() + from, tag.data() + tag.size(), version).ec != std::errc{})
+        std::from_chars(etag.data() + from, etag.data() + etag.size(), version).ec != std::errc{})
     {
         return std::nullopt;
     }
@@ -77,26 +77,26 @@
 }
 
 /// The operation that a request asks for, if it is a valid one.
-std::optional<store_op> operation_of(const http_request& request)
+std::optional<store_op> parse_operation(const http_request& request)
 {
-    const auto path = path_segments(request.target);
+    const auto segments = path_segments(request.target);
     const auto prefix = query_value(split_target(request.target).query, "prefix");
-    if (path.size() == 1 && prefix && request.method == "GET")
+    if (segments.size() == 1 && prefix && request.method == "GET")
     {
-        return path[0] == "table"     ? std::optional<store_op>{table_list{*prefix}}
-               : path[0] == "objects" ? std::optional<store_op>{object_list{*prefix}}
-                                      : std::nullopt;
+        return segments[0] == "table"     ? std::optional<store_op>{table_list{*prefix}}
+               : segments[0] == "objects" ? std::optional<store_op>{object_list{*prefix}}
+                                          : std::nullopt;
     }
-    if (path.size() != 2)
+    if (segments.size() != 2)
     {
         return std::nullopt;
     }
-    return path[0] == "table"     ? table_op(request, path[1])
-           : path[0] == "objects" ? object_op(request, path[1])
-                                  : std::nullopt;
+    return segments[0] == "table"     ? table_op(request, segments[1])
+           : segments[0] == "objects" ? object_op(request, segments[1])
+                                      : std::nullopt;
 }
 
-std::string listing(const std::vector<table_row>& rows, bool objects)
+std::string listing_json(const std::vector<table_row>& rows, bool objects)
 {
     json document = json::array();
     for (const auto& it : rows)
@@ -107,7 +107,7 @@
     return document.dump();
 }
 
-http_response response_of(const store_reply& reply, bool creates)
+http_response to_response(const store_reply& reply, bool is_create)
 {
     switch (reply.status)
     {
@@ -120,7 +120,7 @@
     default:
         return json_error(status_unavailable, "refused");
     }
-    http_response response{.status = creates ? status_created : status_ok,
+    http_response response{.status = is_create ? status_created : status_ok,
                            .content_type = "application/octet-stream",
                            .body = reply.value};
     if (reply.version > 0)
@@ -131,19 +131,19 @@
 }
 
 /// A rate of null means no limit.
-std::optional<double> rate_in(const json& document, const char* name, std::optional<double> present)
+std::optional<double> parse_rate(const json& document, const char* name, std::optional<double> current)
 {
     const auto it = document.find(name);
     if (it == document.end())
     {
-        return present;
+        return current;
     }
     return it->is_null() ? std::nullopt : std::optional{it->get<double>()};
 }
 
 /// Reads the members that the document has; the others stay as they are.
 /// @return false if it is no object or a member is of the wrong type
-bool read_faults(const std::string& body, store_faults& faults)
+bool parse_faults(const std::string& body, store_faults& faults)
 {
     try
     {
@@ -151,8 +151,8 @@
         faults.outage = document.value("outage", faults.outage);
         faults.delay = std::chrono::milliseconds{document.value("delay_ms", faults.delay.count())};
         faults.lose_answers = document.value("lose_answers", faults.lose_answers);
-        faults.writes_per_second = rate_in(document, "writes_per_second", faults.writes_per_second);
-        faults.reads_per_second = rate_in(document, "reads_per_second", faults.reads_per_second);
+        faults.writes_per_second = parse_rate(document, "writes_per_second", faults.writes_per_second);
+        faults.reads_per_second = parse_rate(document, "reads_per_second", faults.reads_per_second);
         return true;
     }
     catch (const json::exception&)
@@ -169,15 +169,15 @@
 {
     if (request.target == "/stats")
     {
-        show_stats(*exchange);
+        handle_stats(*exchange);
         return;
     }
     if (request.target == "/faults")
     {
-        set_faults(request, *exchange);
+        handle_faults(request, *exchange);
         return;
     }
-    const auto operation = operation_of(request);
+    const auto operation = parse_operation(request);
     if (!operation)
     {
         exchange->respond(json_error(status_bad_request, "no such operation"));
@@ -187,13 +187,13 @@
     const bool objects = std::holds_alternative<object_list>(*operation);
     if (objects || std::holds_alternative<table_list>(*operation))
     {
-        reply.value = listing(reply.rows, objects);
+        reply.value = listing_json(reply.rows, objects);
     }
-    answer_later(exchange, reply, std::holds_alternative<object_create>(*operation));
+    send_response(exchange, reply, std::holds_alternative<object_create>(*operation));
 }
 
-void store_http::answer_later(const std::shared_ptr<http_exchange>& exchange, const store_reply& reply,
-                              bool creates)
+void store_http::send_response(const std::shared_ptr<http_exchange>& exchange, const store_reply& reply,
+                               bool is_create)
 {
     if (reply.status == store_status::outcome_unknown)
     {
@@ -202,18 +202,18 @@
     }
     if (m_store.faults().delay.count() == 0)
     {
-        exchange->respond(response_of(reply, creates));
+        exchange->respond(to_response(reply, is_create));
         return;
     }
     auto timer = std::make_shared<boost::asio::steady_timer>(m_context, m_store.faults().delay);
-    timer->async_wait([timer, exchange, response = response_of(reply, creates)](const auto& /*ec*/)
+    timer->async_wait([timer, exchange, response = to_response(reply, is_create)](const auto& /*ec*/)
                       { exchange->respond(response); });
 }
 
-void store_http::set_faults(const http_request& request, http_exchange& exchange)
+void store_http::handle_faults(const http_request& request, http_exchange& exchange)
 {
     auto faults = m_store.faults();
-    if (!read_faults(request.body, faults))
+    if (!parse_faults(request.body, faults))
     {
         exchange.respond(json_error(status_bad_request, "not an object of faults"));
         return;
@@ -222,7 +222,7 @@
     exchange.respond(json_response(status_ok, "{}"));
 }
 
-void store_http::show_stats(http_exchange& exchange) const
+void store_http::handle_stats(http_exchange& exchange) const
 {
     const auto& stats = m_store.stats();
     exchange.respond(json_response(status_ok, json{{"reads", stats.reads},
--- a/standins/store_http.hpp
+++ b/standins/store_http.hpp
@@ -26,9 +26,10 @@
     void handle(const http_request& request, const std::shared_ptr<http_exchange>& exchange);
 
   private:
-    void set_faults(const http_request& request, http_exchange& exchange);
-    void show_stats(http_exchange& exchange) const;
-    void answer_later(const std::shared_ptr<http_exchange>& exchange, const store_reply& reply, bool creates);
+    void handle_faults(const http_request& request, http_exchange& exchange);
+    void handle_stats(http_exchange& exchange) const;
+    void send_response(const std::shared_ptr<http_exchange>& exchange, const store_reply& reply,
+                       bool is_create);
 
     boost::asio::io_context& m_context;
     platform_store m_store;
--- a/standins/table_service.cpp
+++ b/standins/table_service.cpp
@@ -19,16 +19,16 @@
 using nlohmann::json;
 
 /// How often waiting feeds are looked at for their end.
-constexpr std::chrono::milliseconds tick_period{10};
+constexpr std::chrono::milliseconds feed_poll_interval{10};
 
-std::string parameter(const http_request& request, std::string_view name)
+std::string query_parameter(const http_request& request, std::string_view name)
 {
     return query_value(split_target(request.target).query, name).value_or("");
 }
 
-std::uint64_t number(const http_request& request, std::string_view name)
+std::uint64_t uint_parameter(const http_request& request, std::string_view name)
 {
-    const auto text = parameter(request, name);
+    const auto text = query_parameter(request, name);
     return text.empty() ? 0 : std::stoull(text);
 }
 
@@ -38,9 +38,9 @@
     : m_context(context),
       m_server(std::make_unique<http_server>(context, address, http_limits{},
                                              [this](const auto& request, const auto& exchange)
-                                             { serve(request, exchange); }))
+                                             { handle_request(request, exchange); }))
 {
-    tick();
+    poll_feeds();
 }
 
 std::uint16_t table_service::port() const
@@ -53,7 +53,7 @@
     const std::scoped_lock lock(m_mutex);
     ++m_version;
     write({table, "", key}, {platform::to_base64(document), m_version});
-    answer_feeds();
+    respond_to_feeds();
 }
 
 void table_service::remove(const std::string& table, const std::string& key)
@@ -61,7 +61,7 @@
     const std::scoped_lock lock(m_mutex);
     ++m_version;
     write({table, "", key}, {"", m_version, true});
-    answer_feeds();
+    respond_to_feeds();
 }
 
 void table_service::set_fault(table_fault fault)
@@ -70,11 +70,11 @@
     m_fault = fault;
 }
 
-void table_service::forget_history()
+void table_service::truncate_history()
 {
     const std::scoped_lock lock(m_mutex);
     m_history.clear();
-    m_forgotten = ++m_version;
+    m_truncated_version = ++m_version;
 }
 
 std::uint64_t table_service::calls() const
@@ -82,43 +82,45 @@
     return m_calls;
 }
 
-void table_service::write(const place& where, row content)
+void table_service::write(const row_id& id, row content)
 {
     if (content.removed)
     {
-        m_rows.erase(where);
+        m_rows.erase(id);
     }
     else
     {
-        m_rows[where] = content;
+        m_rows[id] = content;
     }
-    m_history.emplace_back(where, std::move(content));
+    m_history.emplace_back(id, std::move(content));
 }
 
-void table_service::serve(const http_request& request, const std::shared_ptr<http_exchange>& exchange)
+void table_service::handle_request(const http_request& request,
+                                   const std::shared_ptr<http_exchange>& exchange)
 {
     const std::scoped_lock lock(m_mutex);
     ++m_calls;
-    constexpr int refused = 503;
-    constexpr int limited = 429;
-    constexpr int unknown_path = 404;
+    constexpr int service_unavailable = 503;
+    constexpr int too_many_requests = 429;
+    constexpr int not_found = 404;
     const auto path = split_target(request.target).path;
     if (m_fault == table_fault::refuse || m_fault == table_fault::rate_limit)
     {
-        exchange->respond({.status = m_fault == table_fault::refuse ? refused : limited, .body = "{}"});
+        exchange->respond({.status = m_fault == table_fault::refuse ? service_unavailable : too_many_requests,
+                           .body = "{}"});
     }
-    else if (m_fault == table_fault::silent)
+    else if (m_fault == table_fault::unresponsive)
     {
-        m_held.push_back(exchange);
+        m_unanswered.push_back(exchange);
     }
     else if (path == "/rows-tx")
     {
         transact(request, *exchange);
         if (m_fault == table_fault::lose_answers)
         {
-            m_held.push_back(exchange);
+            m_unanswered.push_back(exchange);
         }
-        answer_feeds();
+        respond_to_feeds();
     }
     else if (path == "/rows-get")
     {
@@ -130,35 +132,35 @@
     }
     else
     {
-        exchange->respond({.status = unknown_path, .body = "{}"});
+        exchange->respond({.status = not_found, .body = "{}"});
     }
 }
 
 void table_service::transact(const http_request& request, http_exchange& exchange)
 {
     const auto document = json::parse(request.body);
-    const auto to_place = [](const json& it) { return place{it.at("table"), it.at("part"), it.at("key")}; };
-    json current = json::array();
-    bool holds = true;
+    const auto to_row_id = [](const json& it) { return row_id{it.at("table"), it.at("part"), it.at("key")}; };
+    json current_rows = json::array();
+    bool preconditions_met = true;
     for (const auto& it : document.at("precondition"))
     {
-        const auto found = m_rows.find(to_place(it));
+        const auto found = m_rows.find(to_row_id(it));
         const std::uint64_t version = found != m_rows.end() ? found->second.version : 0;
-        holds = holds && version == it.at("ver").get<std::uint64_t>();
+        preconditions_met = preconditions_met && version == it.at("ver").get<std::uint64_t>();
         if (found != m_rows.end())
         {
-            auto shown = it;
-            shown["ver"] = version;
-            shown["value"] = found->second.value;
-            current.push_back(std::move(shown));
+            auto entry = it;
+            entry["ver"] = version;
+            entry["value"] = found->second.value;
+            current_rows.push_back(std::move(entry));
         }
     }
-    if (holds)
+    if (preconditions_met)
     {
         ++m_version;
         for (const auto& it : document.at("puts"))
         {
-            write(to_place(it), {it.at("value"), m_version});
+            write(to_row_id(it), {it.at("value"), m_version});
         }
     }
     if (m_fault == table_fault::lose_answers)
@@ -167,96 +169,95 @@
     }
     constexpr int ok = 200;
     constexpr int conflict = 412;
-    json answer{{"ver", m_version}, {"nowMs", 0}};
-    if (!holds)
+    json response{{"ver", m_version}, {"nowMs", 0}};
+    if (!preconditions_met)
     {
-        answer["rows"] = std::move(current);
+        response["rows"] = std::move(current_rows);
     }
-    exchange.respond({.status = holds ? ok : conflict, .body = answer.dump()});
+    exchange.respond({.status = preconditions_met ? ok : conflict, .body = response.dump()});
 }
 
 void table_service::get(const http_request& request, http_exchange& exchange)
 {
-    const auto table = parameter(request, "table");
-    const auto partition = parameter(request, "part");
-    const auto from = parameter(request, "from");
-    const auto to = parameter(request, "to");
+    const auto table = query_parameter(request, "table");
+    const auto partition = query_parameter(request, "part");
+    const auto from = query_parameter(request, "from");
+    const auto to = query_parameter(request, "to");
     json rows = json::array();
-    for (const auto& [where, content] : m_rows)
+    for (const auto& [id, content] : m_rows)
     {
-        const bool inside = where.table == table && where.partition == partition && where.key >= from &&
-                            (to.empty() || where.key < to);
-        if (inside)
+        const bool in_range =
+            id.table == table && id.partition == partition && id.key >= from && (to.empty() || id.key < to);
+        if (in_range)
         {
             rows.push_back({{"table", table},
                             {"part", partition},
-                            {"key", where.key},
+                            {"key", id.key},
                             {"value", content.value},
                             {"ver", content.version}});
         }
     }
-    const json answer{{"rows", std::move(rows)}, {"hasMore", false}, {"ver", m_version}, {"nowMs", 0}};
-    exchange.respond({.body = answer.dump()});
+    const json response{{"rows", std::move(rows)}, {"hasMore", false}, {"ver", m_version}, {"nowMs", 0}};
+    exchange.respond({.body = response.dump()});
 }
 
 void table_service::feed(const http_request& request, const std::shared_ptr<http_exchange>& exchange)
 {
     constexpr int gone = 410;
-    waiting_feed it{.table = parameter(request, "table"),
-                    .after = number(request, "after"),
-                    .until = std::chrono::steady_clock::now() +
-                             std::chrono::milliseconds{static_cast<std::int64_t>(number(request, "waitMs"))},
-                    .exchange = exchange};
-    if (it.after < m_forgotten)
+    pending_feed it{
+        .table = query_parameter(request, "table"),
+        .after = uint_parameter(request, "after"),
+        .deadline = std::chrono::steady_clock::now() +
+                    std::chrono::milliseconds{static_cast<std::int64_t>(uint_parameter(request, "waitMs"))},
+        .exchange = exchange};
+    if (it.after < m_truncated_version)
     {
         exchange->respond({.status = gone, .body = "{}"});
     }
-    else if (!answer_feed(it, false))
+    else if (!respond_to_feed(it, false))
     {
         m_feeds.push_back(std::move(it));
     }
 }
 
-bool table_service::answer_feed(const waiting_feed& feed, bool at_end)
+bool table_service::respond_to_feed(const pending_feed& feed, bool expired)
 {
     json rows = json::array();
-    for (const auto& [where, content] : m_history)
+    for (const auto& [id, content] : m_history)
     {
-        if (where.table == feed.table && content.version > feed.after)
+        if (id.table == feed.table && content.version > feed.after)
         {
-            json shown{{"table", where.table},
-                       {"part", where.partition},
-                       {"key", where.key},
-                       {"ver", content.version}};
+            json entry{
+                {"table", id.table}, {"part", id.partition}, {"key", id.key}, {"ver", content.version}};
             if (content.removed)
             {
-                shown["deleted"] = true;
+                entry["deleted"] = true;
             }
             else
             {
-                shown["value"] = content.value;
+                entry["value"] = content.value;
             }
-            rows.push_back(std::move(shown));
+            rows.push_back(std::move(entry));
         }
     }
-    if (rows.empty() && !at_end)
+    if (rows.empty() && !expired)
     {
         return false;
     }
-    const json answer{{"rows", std::move(rows)}, {"ver", m_version}, {"nowMs", 0}};
-    feed.exchange->respond({.body = answer.dump()});
+    const json response{{"rows", std::move(rows)}, {"ver", m_version}, {"nowMs", 0}};
+    feed.exchange->respond({.body = response.dump()});
     return true;
 }
 
-void table_service::answer_feeds()
+void table_service::respond_to_feeds()
 {
     const auto now = std::chrono::steady_clock::now();
-    std::erase_if(m_feeds, [&](const waiting_feed& it) { return answer_feed(it, it.until <= now); });
+    std::erase_if(m_feeds, [&](const pending_feed& it) { return respond_to_feed(it, it.deadline <= now); });
 }
 
-void table_service::tick()
+void table_service::poll_feeds()
 {
-    auto timer = std::make_shared<boost::asio::steady_timer>(m_context, tick_period);
+    auto timer = std::make_shared<boost::asio::steady_timer>(m_context, feed_poll_interval);
     timer->async_wait(
         [this, timer](boost::system::error_code ec)
         {
@@ -264,9 +265,9 @@
             {
                 {
                     const std::scoped_lock lock(m_mutex);
-                    answer_feeds();
+                    respond_to_feeds();
                 }
-                tick();
+                poll_feeds();
             }
         });
 }
--- a/standins/table_service.hpp
+++ b/standins/table_service.hpp
@@ -33,7 +33,7 @@
     /// Writes are done, their answers never come.
     lose_answers,
     /// Nothing is done and nothing comes.
-    silent,
+    unresponsive,
 };
 
 class table_service
@@ -51,18 +51,18 @@
 
     void set_fault(table_fault fault);
     /// Forgets all changes so far: feeds that go on from before are told so.
-    void forget_history();
+    void truncate_history();
 
     /// @return calls answered or not, since the start
     [[nodiscard]] std::uint64_t calls() const;
 
   private:
-    struct place
+    struct row_id
     {
         std::string table;
         std::string partition;
         std::string key;
-        friend auto operator<=>(const place&, const place&) = default;
+        friend auto operator<=>(const row_id&, const row_id&) = default;
     };
     struct row
     {
@@ -71,35 +71,35 @@
         std::uint64_t version = 0;
         bool removed = false;
     };
-    struct waiting_feed
+    struct pending_feed
     {
         std::string table;
         std::uint64_t after = 0;
-        std::chrono::steady_clock::time_point until;
+        std::chrono::steady_clock::time_point deadline;
         std::shared_ptr<http_exchange> exchange;
     };
 
-    void serve(const http_request& request, const std::shared_ptr<http_exchange>& exchange);
+    void handle_request(const http_request& request, const std::shared_ptr<http_exchange>& exchange);
     void transact(const http_request& request, http_exchange& exchange);
     void get(const http_request& request, http_exchange& exchange);
     void feed(const http_request& request, const std::shared_ptr<http_exchange>& exchange);
-    bool answer_feed(const waiting_feed& feed, bool at_end);
-    void answer_feeds();
-    void write(const place& where, row content);
-    void tick();
+    bool respond_to_feed(const pending_feed& feed, bool expired);
+    void respond_to_feeds();
+    void write(const row_id& id, row content);
+    void poll_feeds();
 
     boost::asio::io_context& m_context;
     std::mutex m_mutex;
-    std::map<place, row> m_rows;
+    std::map<row_id, row> m_rows;
     /// Every change in order; removed rows stay in it.
-    std::vector<std::pair<place, row>> m_history;
-    std::uint64_t m_forgotten = 0;
+    std::vector<std::pair<row_id, row>> m_history;
+    std::uint64_t m_truncated_version = 0;
     std::uint64_t m_version = 0;
     std::uint64_t m_calls = 0;
     table_fault m_fault = table_fault::none;
-    std::vector<waiting_feed> m_feeds;
+    std::vector<pending_feed> m_feeds;
     /// Exchanges that never get an answer.
-    std::vector<std::shared_ptr<http_exchange>> m_held;
+    std::vector<std::shared_ptr<http_exchange>> m_unanswered;
     std::unique_ptr<http_server> m_server;
 };
 
--- a/standins/users_platform_main.cpp
+++ b/standins/users_platform_main.cpp
@@ -32,7 +32,7 @@
     }
 }
 
-void serve(const std::string& store_address)
+void run_site(const std::string& store_address)
 {
     boost::asio::io_context context{1};
     table_service store{context, store_address};
@@ -54,7 +54,7 @@
 {
     try
     {
-        serve(argc > 1 ? argv[1] : "127.0.0.1:7700");
+        run_site(argc > 1 ? argv[1] : "127.0.0.1:7700");
         return EXIT_SUCCESS;
     }
     catch (const std::exception& error)
--- a/standins/vm_list.cpp
+++ b/standins/vm_list.cpp
@@ -9,17 +9,17 @@
 {
 
 constexpr int status_ok = 200;
-constexpr int status_wrong_method = 405;
+constexpr int status_method_not_allowed = 405;
 constexpr int status_not_found = 404;
 
 } // namespace
 
 vm_list::vm_list(std::chrono::milliseconds lag) : m_lag(lag) {}
 
-std::string vm_list::shown()
+std::string vm_list::visible_list()
 {
-    const auto until = std::chrono::steady_clock::now() - m_lag;
-    while (m_versions.size() > 1 && m_versions[1].said <= until)
+    const auto cutoff = std::chrono::steady_clock::now() - m_lag;
+    while (m_versions.size() > 1 && m_versions[1].published_at <= cutoff)
     {
         m_versions.pop_front();
     }
@@ -35,7 +35,7 @@
     }
     else if (request.method == "GET")
     {
-        exchange->respond(json_response(status_ok, shown()));
+        exchange->respond(json_response(status_ok, visible_list()));
     }
     else if (request.method == "PUT")
     {
@@ -44,7 +44,7 @@
     }
     else
     {
-        exchange->respond(json_error(status_wrong_method, "GET or PUT"));
+        exchange->respond(json_error(status_method_not_allowed, "GET or PUT"));
     }
 }
 
--- a/standins/vm_list.hpp
+++ b/standins/vm_list.hpp
@@ -24,11 +24,11 @@
   private:
     struct version
     {
-        std::chrono::steady_clock::time_point said;
+        std::chrono::steady_clock::time_point published_at;
         std::string list;
     };
 
-    [[nodiscard]] std::string shown();
+    [[nodiscard]] std::string visible_list();
 
     std::chrono::milliseconds m_lag;
     std::deque<version> m_versions;
--- a/tests/soak/soak_main.cpp
+++ b/tests/soak/soak_main.cpp
@@ -47,7 +47,7 @@
 
 std::uint64_t faults_of(tests::state_world& world)
 {
-    const auto& fates = world.store().fates();
+    const auto& fates = world.store().outcome_counts();
     const auto& counts = world.counts();
     return std::accumulate(fates.begin() + 1, fates.end(), std::uint64_t{0}) + counts.crashes +
            counts.freezes + counts.outages;
--- a/tests/support/caller_agent.cpp
+++ b/tests/support/caller_agent.cpp
@@ -226,7 +226,7 @@
 void caller_agent::check_output(const std::string& output)
 {
     const auto expected = m_current->tool ? tool_answer(current_ref(), m_current->input)
-                                          : standins::answer_text(prompt(), m_options.max_tokens);
+                                          : standins::completion_text(prompt(), m_options.max_tokens);
     if (output != expected)
     {
         violate("call " + m_current->key.value + " got '" + output + "' for '" + expected + "'");
--- a/tests/support/state_world.cpp
+++ b/tests/support/state_world.cpp
@@ -121,8 +121,8 @@
     }
     if (random(10) == 0)
     {
-        m_store.deliver_late(random(thousand), m_now);
-        m_store.deliver_slow(random(thousand));
+        m_store.apply_delayed_request(random(thousand), m_now);
+        m_store.deliver_delayed_response(random(thousand));
     }
 }
 
@@ -137,8 +137,8 @@
         return;
     }
     const bool bad = !m_settling && chance(m_options.bad_fate);
-    const auto fate = bad ? static_cast<standins::op_fate>(1 + random(standins::fate_count - 1))
-                          : standins::op_fate::answered;
+    const auto fate = bad ? static_cast<standins::op_outcome>(1 + random(standins::op_outcome_count - 1))
+                          : standins::op_outcome::completed;
     m_store.deliver(random(thousand), fate, m_now);
 }
 
@@ -219,12 +219,12 @@
         const auto busy = [](const home_ptr& it) { return it->busy(); };
         int n = 0;
         for (; n < most_steps &&
-               (n < least_steps || m_store.waiting() > 0 || std::ranges::any_of(m_homes, busy));
+               (n < least_steps || m_store.pending_count() > 0 || std::ranges::any_of(m_homes, busy));
              ++n)
         {
             m_now += std::chrono::milliseconds{10};
-            m_store.deliver_late(0, m_now);
-            m_store.deliver_slow(0);
+            m_store.apply_delayed_request(0, m_now);
+            m_store.deliver_delayed_response(0);
             deliver_one();
             if (n % 10 == 0)
             {
--- a/tests/support/system_backends.cpp
+++ b/tests/support/system_backends.cpp
@@ -53,7 +53,7 @@
 void system_world::stream_answer(node& at, const engine_start& order, core_duration time)
 {
     const auto token = at.running.at(order.call);
-    const auto answer = standins::answer_text(order.prompt, order.request.max_tokens);
+    const auto answer = standins::completion_text(order.prompt, order.request.max_tokens);
     token_count prompt = 0;
     std::ranges::for_each(order.prompt, [&](const std::string& it) { prompt += estimate_tokens(it); });
     const auto words = estimate_tokens(answer);
--- a/tests/unit/test_config_state.cpp
+++ b/tests/unit/test_config_state.cpp
@@ -13,7 +13,7 @@
 using namespace masticcourse;
 using namespace std::chrono_literals;
 using standins::faulty_store;
-using standins::op_fate;
+using standins::op_outcome;
 
 namespace
 {
@@ -30,7 +30,7 @@
 
     patch_state run(config_patch& it)
     {
-        run_to_end(it, store, now);
+        run_to_completion(it, store, now);
         return it.state();
     }
 
@@ -55,8 +55,8 @@
     // Both have read version 0 before either writes.
     for (auto* each : {&first, &second})
     {
-        pump(*each, it.store, it.now);
-        it.store.deliver(0, op_fate::answered, it.now);
+        send_next(*each, it.store, it.now);
+        it.store.deliver(0, op_outcome::completed, it.now);
     }
     CHECK(it.run(second) == patch_state::accepted);
     CHECK(it.run(first) == patch_state::conflict);
@@ -70,24 +70,24 @@
 {
     struct row
     {
-        op_fate fate;
+        op_outcome fate;
         unsigned later_patches;
         patch_state state;
     };
     const std::vector<row> table{
-        {op_fate::done_but_lost, 0, patch_state::accepted},
-        {op_fate::done_but_lost, 5, patch_state::accepted},
-        {op_fate::done_but_lost, remembered_patches, patch_state::unknown},
-        {op_fate::dropped, 0, patch_state::accepted},
-        {op_fate::refused, 0, patch_state::accepted},
+        {op_outcome::response_lost, 0, patch_state::accepted},
+        {op_outcome::response_lost, 5, patch_state::accepted},
+        {op_outcome::response_lost, remembered_patches, patch_state::unknown},
+        {op_outcome::request_lost, 0, patch_state::accepted},
+        {op_outcome::refused, 0, patch_state::accepted},
     };
     for (const auto& each : table)
     {
         config_store it;
         auto lossy = patch(0, "lossy");
-        pump(lossy, it.store, it.now);
-        it.store.deliver(0, op_fate::answered, it.now);
-        pump(lossy, it.store, it.now);
+        send_next(lossy, it.store, it.now);
+        it.store.deliver(0, op_outcome::completed, it.now);
+        send_next(lossy, it.store, it.now);
         CHECK(lossy.may_be_accepted());
         it.store.deliver(0, each.fate, it.now);
         it.accept(1, each.later_patches);
@@ -108,22 +108,22 @@
     config_store it;
     it.accept(0, 3);
     const config_tracker_options options{};
-    const auto ask_store = [&](config_tracker& tracker, op_fate fate)
+    const auto ask_store = [&](config_tracker& tracker, op_outcome fate)
     {
-        REQUIRE(pump(tracker, it.store, it.now));
+        REQUIRE(send_next(tracker, it.store, it.now));
         it.store.deliver(0, fate, it.now);
     };
 
     config_tracker by_store(options, 1);
     CHECK_FALSE(by_store.ready());
-    ask_store(by_store, op_fate::answered);
+    ask_store(by_store, op_outcome::completed);
     CHECK(by_store.ready());
     CHECK(by_store.version() == 3);
 
     // During an outage a peer that serves will do, one that doesn't know either won't.
     config_tracker by_peer(options, 2);
     config_tracker ignorant(options, 3);
-    ask_store(by_peer, op_fate::refused);
+    ask_store(by_peer, op_outcome::refused);
     CHECK_FALSE(by_peer.ready());
     CHECK_FALSE(ignorant.answer({}));
     by_peer.on_named({"peer"}, 3, it.now);
@@ -141,7 +141,7 @@
     CHECK(by_peer.poll_peers(it.now));
     // The peer says nothing: after its time the store is asked.
     it.now += 3s;
-    ask_store(by_peer, op_fate::answered);
+    ask_store(by_peer, op_outcome::completed);
     CHECK(by_peer.ready());
     CHECK(by_peer.version() == 4);
     CHECK(by_peer.next_wakeup() >= it.now + options.poll_period / 2);
@@ -154,8 +154,8 @@
     config_tracker tracker({}, 1);
     tracker.on_named({"liar"}, 99, it.now);
     CHECK(tracker.poll_peers(it.now));
-    REQUIRE(pump(tracker, it.store, it.now));
-    it.store.deliver(0, op_fate::answered, it.now);
+    REQUIRE(send_next(tracker, it.store, it.now));
+    it.store.deliver(0, op_outcome::completed, it.now);
     CHECK(tracker.ready());
     CHECK(tracker.version() == 1);
 }
@@ -185,15 +185,15 @@
                                 now += std::chrono::milliseconds{seed % 50};
                                 world.step(disturbed);
                                 world.tick();
-                                const auto fate =
-                                    disturbed && (seed >> (n % 32)) % 3 == 0
-                                        ? static_cast<op_fate>(n % static_cast<int>(standins::fate_count))
-                                        : op_fate::answered;
+                                const auto fate = disturbed && (seed >> (n % 32)) % 3 == 0
+                                                      ? static_cast<op_outcome>(
+                                                            n % static_cast<int>(standins::op_outcome_count))
+                                                      : op_outcome::completed;
                                 store.deliver(static_cast<std::size_t>(n), fate, now);
-                                store.deliver_late(0, now);
+                                store.apply_delayed_request(0, now);
                                 if (n % 5 == 0 || !disturbed)
                                 {
-                                    store.deliver_slow(static_cast<std::size_t>(n));
+                                    store.deliver_delayed_response(static_cast<std::size_t>(n));
                                 }
                             }
                         };
--- a/tests/unit/test_engine_model.cpp
+++ b/tests/unit/test_engine_model.cpp
@@ -15,7 +15,7 @@
 {
 
 /// @a words words that no other @a name shares.
-std::string text_of(const std::string& name, token_count words)
+std::string make_text(const std::string& name, token_count words)
 {
     std::string text;
     for (token_count n = 0; n < words; ++n)
@@ -25,17 +25,18 @@
     return text;
 }
 
-engine_request request_of(const std::string& stream, std::vector<std::string> prompt, token_count answer)
+engine_request make_request(const std::string& stream, std::vector<std::string> prompt,
+                            token_count completion_tokens)
 {
     return {.stream = {stream},
             .program = {"program-" + stream},
             .prompt = std::move(prompt),
-            .max_tokens = answer,
-            .answer_tokens = answer};
+            .max_tokens = completion_tokens,
+            .answer_tokens = completion_tokens};
 }
 
 /// What came out of the engine, per stream.
-struct answer
+struct stream_result
 {
     std::string text;
     token_usage usage;
@@ -44,76 +45,76 @@
     bool too_long = false;
 };
 
-std::map<std::string, answer> run_until_idle(engine_model& engine)
+std::map<std::string, stream_result> run_until_idle(engine_model& engine)
 {
-    std::map<std::string, answer> answers;
+    std::map<std::string, stream_result> results;
     while (const auto at = engine.next_event_time())
     {
         for (const auto& event : engine.advance(*at))
         {
             if (const auto* token = std::get_if<token_event>(&event))
             {
-                auto& it = answers[token->stream.value];
+                auto& it = results[token->stream.value];
                 it.first = token->index == 0 ? token->at : it.first;
                 it.text += token->text;
             }
             else if (const auto* finished = std::get_if<finished_event>(&event))
             {
-                auto& it = answers[finished->stream.value];
+                auto& it = results[finished->stream.value];
                 it.usage = finished->usage;
                 it.finished = finished->at;
                 it.too_long = finished->too_long;
             }
         }
     }
-    return answers;
+    return results;
 }
 
-const engine_options small{.max_running = 2,
-                           .cache_capacity = 100,
-                           .prefill_rate = 1000,
-                           .prefill_chunk = 10,
-                           .decode_step = 10ms,
-                           .decode_step_per_sequence = 1ms};
+const engine_options small_engine{.max_running = 2,
+                                  .cache_capacity = 100,
+                                  .prefill_rate = 1000,
+                                  .prefill_chunk = 10,
+                                  .decode_step = 10ms,
+                                  .decode_step_per_sequence = 1ms};
 
 } // namespace
 
 TEST_CASE("engine model batches")
 {
-    engine_model engine{small};
+    engine_model engine{small_engine};
     SUBCASE("one sequence: prefill at the rate, then one token a step")
     {
-        engine.start(request_of("a", {text_of("x", 20)}, 3), {});
-        const auto answers = run_until_idle(engine);
-        CHECK(answers.at("a").text == answer_text(std::vector{text_of("x", 20)}, 3));
-        CHECK(answers.at("a").first == core_time{20ms});
-        CHECK(answers.at("a").finished == core_time{42ms});
-        CHECK(answers.at("a").usage == token_usage{.prompt = 20, .cached = 0, .completion = 3});
+        engine.start(make_request("a", {make_text("x", 20)}, 3), {});
+        const auto results = run_until_idle(engine);
+        CHECK(results.at("a").text == completion_text(std::vector{make_text("x", 20)}, 3));
+        CHECK(results.at("a").first == core_time{20ms});
+        CHECK(results.at("a").finished == core_time{42ms});
+        CHECK(results.at("a").usage == token_usage{.prompt = 20, .cached = 0, .completion = 3});
     }
     SUBCASE("two sequences make each step longer, but less than two alone")
     {
-        engine.start(request_of("a", {text_of("x", 10)}, 11), {});
-        engine.start(request_of("b", {text_of("y", 10)}, 11), {});
-        const auto answers = run_until_idle(engine);
-        CHECK(answers.at("b").finished > core_time{120ms});
-        CHECK(answers.at("b").finished < core_time{200ms});
+        engine.start(make_request("a", {make_text("x", 10)}, 11), {});
+        engine.start(make_request("b", {make_text("y", 10)}, 11), {});
+        const auto results = run_until_idle(engine);
+        CHECK(results.at("b").finished > core_time{120ms});
+        CHECK(results.at("b").finished < core_time{200ms});
     }
     SUBCASE("a third waits for a place in the batch")
     {
         for (const auto* name : {"a", "b", "c"})
         {
-            engine.start(request_of(name, {text_of(name, 5)}, 5), {});
+            engine.start(make_request(name, {make_text(name, 5)}, 5), {});
         }
         engine.advance(core_time{5ms});
         CHECK(engine.load().running == 2);
         CHECK(engine.load().queued == 1);
-        const auto answers = run_until_idle(engine);
-        CHECK(answers.at("c").first > answers.at("a").finished);
+        const auto results = run_until_idle(engine);
+        CHECK(results.at("c").first > results.at("a").finished);
     }
     SUBCASE("a slowed engine takes that much longer")
     {
         engine.set_slowdown(3);
-        engine.start(request_of("a", {text_of("x", 10)}, 1), {});
+        engine.start(make_request("a", {make_text("x", 10)}, 1), {});
         CHECK(run_until_idle(engine).at("a").finished == core_time{30ms});
     }
 }
@@ -127,20 +128,20 @@
         std::vector<std::string> second;
         token_count cached;
     };
-    const std::string head = text_of("h", 20);
-    const std::string follow_up = answer_text(std::vector{head}, 4);
-    const std::array table{row{"another prompt", {head}, {text_of("other", 20)}, 0},
+    const std::string head = make_text("h", 20);
+    const std::string first_completion = completion_text(std::vector{head}, 4);
+    const std::array table{row{"another prompt", {head}, {make_text("other", 20)}, 0},
                            row{"the same prompt", {head}, {head}, 20},
-                           row{"a longer prompt", {head}, {head, text_of("t", 5)}, 20},
-                           row{"the answer too", {head}, {head, follow_up, text_of("t", 5)}, 24},
-                           row{"only a leading run", {head}, {text_of("t", 5), head}, 0}};
+                           row{"a longer prompt", {head}, {head, make_text("t", 5)}, 20},
+                           row{"the answer too", {head}, {head, first_completion, make_text("t", 5)}, 24},
+                           row{"only a leading run", {head}, {make_text("t", 5), head}, 0}};
     for (const auto& it : table)
     {
         CAPTURE(it.name);
-        engine_model engine{small};
-        engine.start(request_of("a", it.first, 4), {});
+        engine_model engine{small_engine};
+        engine.start(make_request("a", it.first, 4), {});
         run_until_idle(engine);
-        engine.start(request_of("b", it.second, 1), core_time{1s});
+        engine.start(make_request("b", it.second, 1), core_time{1s});
         CHECK(run_until_idle(engine).at("b").usage.cached == it.cached);
         CHECK(engine.counters().reused == it.cached);
         CHECK(engine.counters().recomputed == 0);
@@ -149,49 +150,49 @@
 
 TEST_CASE("engine model holds bounded memory")
 {
-    engine_model engine{small};
+    engine_model engine{small_engine};
     SUBCASE("the least recently used prefix goes first, and computing it again is counted")
     {
         core_time now;
         for (const auto* name : {"a", "b", "a", "c"})
         {
             now += 1s;
-            engine.start(request_of(name, {text_of(name, 40)}, 2), now);
+            engine.start(make_request(name, {make_text(name, 40)}, 2), now);
             run_until_idle(engine);
-            CHECK(engine.load().cache_used <= small.cache_capacity);
+            CHECK(engine.load().cache_used <= small_engine.cache_capacity);
         }
         CHECK(engine.counters().evicted_unused == 42);
-        engine.start(request_of("a", {text_of("a", 40)}, 1), core_time{11s});
+        engine.start(make_request("a", {make_text("a", 40)}, 1), core_time{11s});
         CHECK(run_until_idle(engine).at("a").usage.cached == 40);
-        engine.start(request_of("b", {text_of("b", 40)}, 1), core_time{12s});
+        engine.start(make_request("b", {make_text("b", 40)}, 1), core_time{12s});
         CHECK(run_until_idle(engine).at("b").usage.cached == 0);
         CHECK(engine.counters().recomputed == 40);
     }
     SUBCASE("siblings share a prefix's memory")
     {
-        engine.start(request_of("a", {text_of("h", 60), "x"}, 1), {});
-        engine.start(request_of("b", {text_of("h", 60), "y"}, 1), {});
+        engine.start(make_request("a", {make_text("h", 60), "x"}, 1), {});
+        engine.start(make_request("b", {make_text("h", 60), "y"}, 1), {});
         run_until_idle(engine);
         CHECK(engine.load().cache_used == 64);
-        CHECK(engine.held().size() == 2);
+        CHECK(engine.cached_programs().size() == 2);
         engine.free_program({"program-a"});
         CHECK(engine.load().cache_used == 62);
         engine.free_program({"program-b"});
         CHECK(engine.load().cache_used == 0);
-        CHECK(engine.held().empty());
+        CHECK(engine.cached_programs().empty());
     }
     SUBCASE("what can never fit is refused, and the next goes on")
     {
-        engine.start(request_of("a", {text_of("x", 99)}, 2), {});
-        engine.start(request_of("b", {text_of("y", 9)}, 2), {});
-        const auto answers = run_until_idle(engine);
-        CHECK(answers.at("a").too_long);
-        CHECK_FALSE(answers.at("b").too_long);
+        engine.start(make_request("a", {make_text("x", 99)}, 2), {});
+        engine.start(make_request("b", {make_text("y", 9)}, 2), {});
+        const auto results = run_until_idle(engine);
+        CHECK(results.at("a").too_long);
+        CHECK_FALSE(results.at("b").too_long);
     }
     SUBCASE("a sequence waits until there is memory for it")
     {
-        engine.start(request_of("a", {text_of("x", 50)}, 10), {});
-        engine.start(request_of("b", {text_of("y", 50)}, 10), {});
+        engine.start(make_request("a", {make_text("x", 50)}, 10), {});
+        engine.start(make_request("b", {make_text("y", 50)}, 10), {});
         CHECK(engine.load().running == 1);
         CHECK(run_until_idle(engine).size() == 2);
     }
@@ -209,8 +210,8 @@
     for (const auto& it : table)
     {
         CAPTURE(it.name);
-        engine_model engine{small};
-        engine.start(request_of("a", {text_of("x", 30)}, 20), {});
+        engine_model engine{small_engine};
+        engine.start(make_request("a", {make_text("x", 30)}, 20), {});
         engine.advance(it.at);
         CHECK(engine.load().cache_used == 50);
         CHECK(engine.cancel({"a"}, it.at));
@@ -221,18 +222,18 @@
     }
     SUBCASE("a queued stream can be cancelled")
     {
-        engine_model engine{small};
+        engine_model engine{small_engine};
         for (const auto* name : {"a", "b", "c"})
         {
-            engine.start(request_of(name, {text_of(name, 5)}, 5), {});
+            engine.start(make_request(name, {make_text(name, 5)}, 5), {});
         }
         CHECK(engine.cancel({"c"}, {}));
         CHECK(run_until_idle(engine).size() == 2);
     }
     SUBCASE("memory freed under a running stream goes when the stream ends")
     {
-        engine_model engine{small};
-        engine.start(request_of("a", {text_of("x", 5)}, 5), {});
+        engine_model engine{small_engine};
+        engine.start(make_request("a", {make_text("x", 5)}, 5), {});
         engine.free_program({"program-a"});
         CHECK(run_until_idle(engine).at("a").usage.completion == 5);
         engine.free_program({"program-a"});
@@ -242,13 +243,13 @@
 
 TEST_CASE("engine model exports and imports prefixes")
 {
-    engine_model from{small};
-    engine_model to{small};
-    const std::vector prompt{text_of("x", 30), text_of("y", 10)};
-    from.start(request_of("a", prompt, 5), {});
+    engine_model from{small_engine};
+    engine_model to{small_engine};
+    const std::vector prompt{make_text("x", 30), make_text("y", 10)};
+    from.start(make_request("a", prompt, 5), {});
     run_until_idle(from);
     CHECK(to.import_prefix({"program-a"}, from.export_prefix({"program-a"}), {}));
-    to.start(request_of("a", prompt, 1), core_time{1s});
+    to.start(make_request("a", prompt, 1), core_time{1s});
     CHECK(run_until_idle(to).at("a").usage.cached == 40);
     CHECK_FALSE(to.import_prefix({"program-a"}, "not a prefix", {}));
 }
--- a/tests/unit/test_gateway_loopback.cpp
+++ b/tests/unit/test_gateway_loopback.cpp
@@ -231,7 +231,7 @@
     gateway_process gateway{loopback(world.store.port()), "only"};
     world.wait_ready(gateway);
     CHECK(world.send(gateway, "/tool/1", "b1").status == 200);
-    world.store.forget_history();
+    world.store.truncate_history();
     world.store.put("servers", "i-app", world.app.registry_entry("app", "draining"));
     REQUIRE(eventually([&] { return world.send(gateway, "/tool/1", "b2").status == 503; }));
     std::string later = config;
--- a/tests/unit/test_journal.cpp
+++ b/tests/unit/test_journal.cpp
@@ -18,7 +18,7 @@
 using namespace masticcourse;
 using namespace std::chrono_literals;
 using standins::faulty_store;
-using standins::op_fate;
+using standins::op_outcome;
 
 namespace
 {
@@ -76,17 +76,17 @@
             writer.append(numbered(++appended), now);
             break;
         case action::write:
-            pump(writer, store, now);
+            send_next(writer, store, now);
             break;
         case action::take_over:
             taking_over = taking_over || operand % 4 == 0;
             break;
         case action::deliver:
-            store.deliver(operand, static_cast<op_fate>(operand / 3 % standins::fate_count), now);
+            store.deliver(operand, static_cast<op_outcome>(operand / 3 % standins::op_outcome_count), now);
             break;
         case action::deliver_late:
-            store.deliver_late(operand, now);
-            store.deliver_slow(operand);
+            store.apply_delayed_request(operand, now);
+            store.deliver_delayed_response(operand);
             break;
         case action::wait:
             now += std::chrono::milliseconds{operand % 400};
@@ -95,21 +95,21 @@
         if (taking_over)
         {
             recovery.read(1, std::nullopt);
-            pump(recovery, store, now);
+            send_next(recovery, store, now);
         }
     }
 
     /// All that waits is answered, in turn.
     void finish(auto& machine)
     {
-        while (store.waiting() > 0)
+        while (store.pending_count() > 0)
         {
-            store.deliver(0, op_fate::answered, now);
+            store.deliver(0, op_outcome::completed, now);
         }
-        while (store.deliver_slow(0))
+        while (store.deliver_delayed_response(0))
         {
         }
-        run_to_end(machine, store, now);
+        run_to_completion(machine, store, now);
     }
 };
 
@@ -139,8 +139,8 @@
                         // The old owner wakes, and whatever was still on its way arrives.
                         script.writer.append(numbered(++script.appended), script.now);
                         script.finish(script.writer);
-                        script.store.deliver_late(0, script.now);
-                        script.store.deliver_late(0, script.now);
+                        script.store.apply_delayed_request(0, script.now);
+                        script.store.apply_delayed_request(0, script.now);
                         RC_ASSERT(script.writer.sealed());
                         RC_ASSERT(script.writer.durable() <= found.size());
                         journal_recovery again(owner, {"third"}, {});
@@ -153,16 +153,16 @@
 TEST_CASE("an append whose answer was lost is settled by reading it back")
 {
     // Done but unanswered is not written again; one that never arrived, or was refused, is.
-    for (const op_fate fate : {op_fate::done_but_lost, op_fate::dropped, op_fate::refused})
+    for (const op_outcome fate : {op_outcome::response_lost, op_outcome::request_lost, op_outcome::refused})
     {
         core_time now{};
         faulty_store store;
         journal_writer writer(owner, {});
         const auto ticket = writer.append(numbered(1), now);
-        pump(writer, store, now);
+        send_next(writer, store, now);
         store.deliver(0, fate, now);
         CHECK(writer.durable() < ticket);
-        run_to_end(writer, store, now);
+        run_to_completion(writer, store, now);
         CHECK(writer.durable() == ticket);
         CHECK(store.store().stats().writes == 1);
     }
@@ -177,15 +177,15 @@
     std::uint64_t attempts = 0;
     while (now < core_time{} + 10min)
     {
-        attempts += pump(writer, store, now) ? 1 : 0;
-        store.deliver(0, op_fate::refused, now);
+        attempts += send_next(writer, store, now) ? 1 : 0;
+        store.deliver(0, op_outcome::refused, now);
         // Whoever polls too often gets nothing to send.
         now += 10ms;
     }
     CHECK(writer.stalled_for(now) == 10min);
     // The longest gap is 2 s with jitter, so at most one attempt a second and a few at the start.
     CHECK(attempts <= 610);
-    run_to_end(writer, store, now);
+    run_to_completion(writer, store, now);
     CHECK(writer.stalled_for(now) == 0s);
 }
 
@@ -198,11 +198,11 @@
     for (std::uint64_t n = 1; n <= records; ++n)
     {
         writer.append(numbered(n), now);
-        pump(writer, store, now);
-        store.deliver(0, op_fate::answered, now);
+        send_next(writer, store, now);
+        store.deliver(0, op_outcome::completed, now);
         now += 1ms;
     }
-    run_to_end(writer, store, now);
+    run_to_completion(writer, store, now);
     CHECK(writer.durable() == records);
     CHECK(writer.pending_bytes() == 0);
     // One second at a gap of 50 ms.
@@ -217,7 +217,7 @@
     const auto write_one = [&]
     {
         writer.append(numbered(writer.last_ticket() + 1), now);
-        run_to_end(writer, store, now);
+        run_to_completion(writer, store, now);
     };
     write_one();
     journal_recovery recovery(owner, successor, {});
@@ -225,22 +225,22 @@
     // The successor has listed and looked at entry 1; its seal in place 2 is on its way.
     for (int n = 0; n < 2; ++n)
     {
-        pump(recovery, store, now);
-        store.deliver(0, op_fate::answered, now);
+        send_next(recovery, store, now);
+        store.deliver(0, op_outcome::completed, now);
     }
-    pump(recovery, store, now);
+    send_next(recovery, store, now);
     // Meanwhile the owner writes on, and its old entries are cleaned away.
     auto seal = store.take(0);
     write_one();
     write_one();
     write_one();
     journal_cleaner cleaner(owner, 100, {});
-    run_to_end(cleaner, store, now);
+    run_to_completion(cleaner, store, now);
     CHECK(cleaner.deleted() == 3);
     store.send(std::move(seal.op), std::move(seal.handler));
-    store.deliver(0, op_fate::answered, now);
+    store.deliver(0, op_outcome::completed, now);
 
-    run_to_end(recovery, store, now);
+    run_to_completion(recovery, store, now);
     CHECK(recovery.end() == 5);
     write_one();
     CHECK(writer.sealed());
@@ -261,7 +261,7 @@
         for (std::uint64_t n = 1; n <= 5; ++n)
         {
             writer.append(numbered(n), now);
-            run_to_end(writer, store, now);
+            run_to_completion(writer, store, now);
         }
         if (it.named)
         {
@@ -269,7 +269,7 @@
             static_cast<void>(store.store().apply(table_put{shard_key(7), encode(named)}, now));
         }
         journal_cleaner cleaner(owner, 100, {});
-        run_to_end(cleaner, store, now);
+        run_to_completion(cleaner, store, now);
         CHECK(cleaner.done());
         CHECK(cleaner.deleted() == it.deleted);
     }
@@ -289,7 +289,7 @@
     for (std::uint64_t n = 1; n <= 4; ++n)
     {
         writer.append(numbered(n), now);
-        run_to_end(writer, store, now);
+        run_to_completion(writer, store, now);
     }
     const auto replace = [&](std::uint64_t index, const std::string& bytes)
     {
@@ -303,7 +303,7 @@
 
     journal_recovery recovery(owner, successor, {});
     recovery.read(1, std::nullopt);
-    run_to_end(recovery, store, now);
+    run_to_completion(recovery, store, now);
     CHECK(numbers_in(recovery) == std::vector<std::uint64_t>{4});
     const std::vector<damaged_entry> expected{
         {.journal = owner, .index = 1, .missing = true},
--- a/tests/unit/test_row_store_client.cpp
+++ b/tests/unit/test_row_store_client.cpp
@@ -150,7 +150,7 @@
 TEST_CASE("a feed call that hangs fails soon after its wait, regardless of the current call timeout")
 {
     client_fixture fixture;
-    fixture.store.set_fault(standins::table_fault::silent);
+    fixture.store.set_fault(standins::table_fault::unresponsive);
     for (int n = 0; n < 4; ++n)
     {
         // Each timeout increases the timeout of the next call.
@@ -179,7 +179,7 @@
         [&](auto done) { fixture.client.follow("t", rows.version, 1s, done); });
     REQUIRE(feed.rows.size() == 1);
     CHECK(feed.rows[0].removed);
-    fixture.store.forget_history();
+    fixture.store.truncate_history();
     const auto gone = fixture.wait_for<gateway::feed_reply>(
         [&](auto done) { fixture.client.follow("t", rows.version, 1s, done); });
     CHECK(gone.outcome == gateway::feed_outcome::history_truncated);
--- a/tests/unit/test_shard_claim.cpp
+++ b/tests/unit/test_shard_claim.cpp
@@ -17,7 +17,7 @@
 
 using namespace masticcourse;
 using standins::faulty_store;
-using standins::op_fate;
+using standins::op_outcome;
 
 namespace
 {
@@ -47,8 +47,8 @@
         constexpr int most_rounds = 1000;
         for (int n = 0; n < most_rounds && claim.state() == claim_state::claiming; ++n)
         {
-            run_to_end(claim, *store, *now);
-            run_to_end(journals, *store, *now);
+            run_to_completion(claim, *store, *now);
+            run_to_completion(journals, *store, *now);
         }
         return claim.state();
     }
@@ -56,7 +56,7 @@
     void write(shard_index shard, epoch_number epoch, const std::string& program)
     {
         writer.append({.shard = shard, .epoch = epoch, .payload = program_ended{{program}}}, *now);
-        run_to_end(writer, *store, *now);
+        run_to_completion(writer, *store, *now);
     }
 };
 
@@ -119,7 +119,7 @@
     REQUIRE(it.a.take(first) == claim_state::taken);
     it.a.write(0, 1, "p");
     auto release = shard_release(first.row(), first.version(), it.a.writer.durable_end(), {});
-    run_to_end(release, it.store, it.now);
+    run_to_completion(release, it.store, it.now);
     REQUIRE(release.state() == update_state::done);
 
     it.b.takes = false;
@@ -130,7 +130,7 @@
     it.a.write(9, 1, "of another shard");
     CHECK_FALSE(it.a.writer.sealed());
     auto back = shard_release(second.row(), second.version(), it.b.writer.durable_end(), {});
-    run_to_end(back, it.store, it.now);
+    run_to_completion(back, it.store, it.now);
     auto third = it.a.claim(0);
     REQUIRE(it.a.take(third) == claim_state::taken);
     CHECK(third.row().epoch == 3);
@@ -149,7 +149,7 @@
     const auto from = it.a.writer.next_index();
     it.a.write(0, 1, "snapshot");
     auto checkpoint = shard_checkpoint(first.row(), first.version(), from, {});
-    run_to_end(checkpoint, it.store, it.now);
+    run_to_completion(checkpoint, it.store, it.now);
     REQUIRE(checkpoint.state() == update_state::done);
 
     auto second = it.b.claim(0);
@@ -159,7 +159,7 @@
     CHECK(it.store.store().stats().reads - reads <= 6);
     // The old owner's next change of the row finds out.
     auto late = shard_checkpoint(first.row(), checkpoint.version(), from, {});
-    run_to_end(late, it.store, it.now);
+    run_to_completion(late, it.store, it.now);
     CHECK(late.state() == update_state::lost_shard);
 }
 
@@ -172,9 +172,9 @@
     it.a.write(0, 1, "q");
     // The sleeper has the row, and has read nothing yet.
     auto sleeper = it.b.claim(0);
-    run_to_end(sleeper, it.store, it.now);
-    run_to_end(it.b.journals, it.store, it.now);
-    run_to_end(sleeper, it.store, it.now);
+    run_to_completion(sleeper, it.store, it.now);
+    run_to_completion(it.b.journals, it.store, it.now);
+    run_to_completion(sleeper, it.store, it.now);
     REQUIRE(sleeper.row().owner == it.b.incarnation);
 
     small_process c{{"c"}, &it.now, &it.store};
@@ -182,9 +182,9 @@
     REQUIRE(c.take(third) == claim_state::taken);
     c.write(0, 3, "snapshot");
     auto checkpoint = shard_checkpoint(third.row(), third.version(), 1, {});
-    run_to_end(checkpoint, it.store, it.now);
+    run_to_completion(checkpoint, it.store, it.now);
     journal_cleaner cleaner(it.a.incarnation, 100, {});
-    run_to_end(cleaner, it.store, it.now);
+    run_to_completion(cleaner, it.store, it.now);
     REQUIRE(cleaner.deleted() == 2);
 
     it.b.takes = false;
@@ -222,25 +222,26 @@
 
 TEST_CASE("a claim or an update whose answer was lost ends as it really went")
 {
-    for (const op_fate fate : {op_fate::done_but_lost, op_fate::dropped, op_fate::late, op_fate::refused})
+    for (const op_outcome fate : {op_outcome::response_lost, op_outcome::request_lost,
+                                  op_outcome::request_delayed, op_outcome::refused})
     {
         two_processes it;
         auto claim = it.a.claim(0);
-        run_to_end(claim, it.store, it.now);
+        run_to_completion(claim, it.store, it.now);
         auto lossy = it.b.claim(0);
-        pump(lossy, it.store, it.now);
-        it.store.deliver(0, op_fate::answered, it.now);
-        run_to_end(it.b.journals, it.store, it.now);
-        pump(lossy, it.store, it.now);
+        send_next(lossy, it.store, it.now);
+        it.store.deliver(0, op_outcome::completed, it.now);
+        run_to_completion(it.b.journals, it.store, it.now);
+        send_next(lossy, it.store, it.now);
         it.store.deliver(0, fate, it.now);
         REQUIRE(it.b.take(lossy) == claim_state::taken);
         CHECK(lossy.row().epoch == 2);
 
         auto update = shard_release(lossy.row(), lossy.version(), it.b.writer.durable_end(), {});
-        pump(update, it.store, it.now);
+        send_next(update, it.store, it.now);
         it.store.deliver(0, fate, it.now);
-        it.store.deliver_late(0, it.now);
-        run_to_end(update, it.store, it.now);
+        it.store.apply_delayed_request(0, it.now);
+        run_to_completion(update, it.store, it.now);
         CHECK(update.state() == update_state::done);
     }
 }
--- a/tests/unit/test_target_backend.cpp
+++ b/tests/unit/test_target_backend.cpp
@@ -182,7 +182,7 @@
 
 std::string whole_answer(token_count tokens)
 {
-    return standins::answer_text(std::vector<std::string>{"history", "input"}, tokens);
+    return standins::completion_text(std::vector<std::string>{"history", "input"}, tokens);
 }
 
 } // namespace
@@ -281,7 +281,7 @@
         CHECK(outcome.error.ran == it.ran);
         if (it.id == problem_id::none)
         {
-            CHECK(outcome.output == standins::plain_service::output_of("a", "input"));
+            CHECK(outcome.output == standins::plain_service::make_output("a", "input"));
         }
     }
 }
--- a/tests/unit/test_target_system.cpp
+++ b/tests/unit/test_target_system.cpp
@@ -78,7 +78,7 @@
             CAPTURE(id.value);
             CHECK(program.turn == turns_per_program);
         }
-        CHECK(m_engine.held().empty());
+        CHECK(m_engine.cached_programs().empty());
         CHECK(m_engine.load().cache_used == 0);
         CHECK(m_core.counts().kept == 0);
         CHECK(m_core.counts().programs == 0);
@@ -196,7 +196,7 @@
         }
         REQUIRE_FALSE(outcome.error.failed());
         program.history.push_back(input_of(ref.program, program));
-        CHECK(outcome.output == standins::answer_text(program.history, outcome.usage.completion));
+        CHECK(outcome.output == standins::completion_text(program.history, outcome.usage.completion));
         CHECK((program.streamed.empty() || program.streamed == outcome.output));
         program.history.push_back(outcome.output);
         program.streamed.clear();
@@ -276,7 +276,7 @@
 
     void perform(const engine_list_request& /*unused*/)
     {
-        m_told.emplace_back(engine_listing{m_engine.held()});
+        m_told.emplace_back(engine_listing{m_engine.cached_programs()});
     }
 
     template <typename Other>
@@ -295,7 +295,7 @@
         const call_ref ref = m_streams.at(event.stream);
         std::vector<std::string> prompt = m_programs.at(ref.program).history;
         prompt.push_back(input_of(ref.program, m_programs.at(ref.program)));
-        call_outcome outcome{.output = standins::answer_text(prompt, event.usage.completion),
+        call_outcome outcome{.output = standins::completion_text(prompt, event.usage.completion),
                              .usage = event.usage};
         give(engine_finished{.call = ref, .outcome = std::move(outcome)});
     }
