--- a/standins/cache_events.hpp
+++ b/standins/cache_events.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The cache events of the HTTP model engine: what changed in the listing, told late and with gaps.
+/// Cache events of the HTTP model engine: changes of the cache listing, published with a delay and with gaps.
 #pragma once
 
 #include "masticcourse/core/clock.hpp"
@@ -14,7 +14,7 @@
 namespace masticcourse::standins
 {
 
-/// A program's memory changed; 0 tokens: it was evicted.
+/// Change of a program's cached token count; 0 means that the program was evicted.
 struct cache_event
 {
     std::uint64_t number = 0;
@@ -26,14 +26,14 @@
 class cache_events
 {
   public:
-    /// @param delay how late events are told
-    /// @param gap   every event whose number this divides is lost; 0: none
+    /// @param delay         time from a change to the publication of its event
+    /// @param loss_interval every n-th event is lost; 0 loses none
     cache_events(core_duration delay, std::uint32_t loss_interval);
 
-    /// Compares the full listing with the last one.
+    /// Records events for the differences between @a listing and the previous one.
     void observe(const std::vector<cached_program>& listing, core_time now);
 
-    /// @return the events after number @a after that are old enough to be told
+    /// @return the events numbered above @a after whose publication delay has elapsed
     [[nodiscard]] std::vector<cache_event> visible_events(std::uint64_t after, core_time now) const;
 
   private:
--- a/standins/engine_http.cpp
+++ b/standins/engine_http.cpp
@@ -62,8 +62,8 @@
         .dump();
 }
 
-/// The request of a `POST /v1/completions`.
-/// @throws nlohmann::json::exception if it is malformed
+/// Parses the body of `POST /v1/completions`.
+/// @throws nlohmann::json::exception if the body is malformed
 engine_request parse_completion_request(const json& body)
 {
     engine_request request{.stream = {body.at("stream_id").get<std::string>()},
@@ -169,12 +169,12 @@
         }
         if (!accept_fencing_number(completion.program.value, body.value("order", std::uint64_t{0})))
         {
-            exchange->respond(json_error(status_conflict, "order is too old"));
+            exchange->respond(json_error(status_conflict, "stale fencing number"));
             return;
         }
         if (!m_streams.create(completion.stream))
         {
-            exchange->respond(json_error(status_conflict, "there is such a stream"));
+            exchange->respond(json_error(status_conflict, "stream already exists"));
             return;
         }
         m_streams.subscribe(completion.stream, std::nullopt, std::move(exchange));
@@ -253,13 +253,14 @@
         const json body = json::parse(request.body, nullptr, false);
         if (!body.is_object() || !body.contains("order"))
         {
-            exchange.respond(json_error(status_bad_request, "no order"));
+            exchange.respond(
+                json_error(status_bad_request, "request body must be a JSON object with the field order"));
             return;
         }
         const std::string order = body["order"].dump();
         if (!accept_fencing_number("order", body.value("fencing", std::uint64_t{0})))
         {
-            exchange.respond(json_error(status_conflict, "order is too old"));
+            exchange.respond(json_error(status_conflict, "stale fencing number"));
             return;
         }
         exchange.respond(json_response(status_ok, json{{"taken", order}}.dump()));
@@ -270,7 +271,7 @@
         const json body = json::parse(request.body, nullptr, false);
         if (!body.is_object())
         {
-            exchange.respond(json_error(status_bad_request, "no faults"));
+            exchange.respond(json_error(status_bad_request, "request body must be a JSON object"));
             return;
         }
         if (body.value("die", false))
@@ -285,7 +286,7 @@
         schedule_step();
     }
 
-    /// @return whether an order of this number may be taken
+    /// @return whether an order with this fencing number is accepted
     bool accept_fencing_number(const std::string& scope, std::uint64_t fencing_number)
     {
         std::uint64_t& highest = m_highest_fencing[scope];
@@ -300,7 +301,7 @@
         return core_time{std::chrono::duration_cast<core_duration>(elapsed)};
     }
 
-    /// Runs the engine up to the present and tells the streams.
+    /// Advances the engine to the current time and forwards its events to the streams.
     void advance_engine()
     {
         for (const auto& event : m_engine.advance(now()))
@@ -339,7 +340,7 @@
             });
     }
 
-    /// Reads load and cache anew after each lag.
+    /// Refreshes the reported load and the cache events periodically, at the configured lag.
     void schedule_load_refresh()
     {
         m_load_timer.expires_after(m_options.load_lag);
@@ -366,7 +367,7 @@
     std::map<std::string, std::uint64_t> m_highest_fencing;
     bool m_hanging = false;
     bool m_stopped = false;
-    /// Requests that came while the engine hung; they never get an answer.
+    /// Requests received while the engine was hanging; they are never answered.
     std::vector<exchange_ptr> m_unanswered;
 };
 
--- a/standins/engine_http.hpp
+++ b/standins/engine_http.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// The model engine over HTTP: completions as event streams, cache listing, KV export and import, cache
-/// events that are late and have gaps, load with a lag, orders with fencing numbers, and faults on command.
+/// HTTP interface of the simulated model engine: completions as event streams, cache listing, KV export and
+/// import, delayed and lossy cache events, lagging load reports, orders with fencing numbers, fault
+/// injection.
 #pragma once
 
 #include "engine_model.hpp"
@@ -21,16 +22,17 @@
 struct engine_http_options
 {
     engine_options engine;
-    /// Refuse an order whose number is older than the newest seen; otherwise ignore the number.
+    /// Reject orders with a fencing number below the highest seen. If false, fencing numbers are ignored.
     bool check_fencing = false;
-    /// How old the load is that `GET /v1/load` tells.
+    /// Refresh interval, and so the maximum age, of the load reported by `GET /v1/load`.
     std::chrono::milliseconds load_lag{200};
-    /// How late cache events are, and which of them are missing (every n-th; 0: none).
+    /// Delay of cache events, and the interval at which they are lost (every n-th; 0 loses none).
     std::chrono::milliseconds event_delay{500};
     std::uint32_t event_gap = 7;
 };
 
-/// Serves the engine. All members and all of its requests run on the context's one thread.
+/// Serves the engine. All members must be called on the single thread of the context, which also runs all
+/// requests.
 class engine_http
 {
   public:
--- a/standins/engine_model.cpp
+++ b/standins/engine_model.cpp
@@ -134,7 +134,7 @@
             m_queue.pop_front();
             continue;
         }
-        // What the sequence will use is pinned first, so that making room for the rest doesn't evict it.
+        // Pin the cached segments first, so that make_room does not evict them to fit the remaining ones.
         const std::size_t cached = m_cache.cached_segments(head.segments);
         const std::vector<prompt_segment> cached_prefix(
             head.segments.begin(), head.segments.begin() + static_cast<std::ptrdiff_t>(cached));
@@ -222,7 +222,7 @@
         prefill(s);
         if (s.remaining_prefill == 0)
         {
-            // The step that computes the last of a prompt also gives the first token.
+            // The step that completes the prefill also produces the first token.
             decode(s, now, events);
         }
     }
--- a/standins/engine_model.hpp
+++ b/standins/engine_model.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// A model engine in virtual time: continuous batching, a prefix cache in bounded memory, no priorities.
-/// It does no I/O; the HTTP stand-in, the benchmarks and the randomised tests drive it.
+/// Simulated model engine in virtual time: continuous batching, a prefix cache of bounded size, FIFO
+/// admission without priorities. Performs no I/O; driven by the HTTP stand-in, the benchmarks and the
+/// randomized tests.
 #pragma once
 
 #include "answer_text.hpp"
@@ -25,15 +26,15 @@
 
 struct engine_options
 {
-    /// Most sequences in the batch.
+    /// Maximum number of sequences in the batch.
     std::uint32_t max_running = 16;
-    /// Memory for prompts, answers and cached prefixes together, in tokens.
+    /// Memory for prompts, completions and cached prefixes together, in tokens.
     token_count cache_capacity = 200'000;
-    /// Prompt tokens a second, shared by all sequences that prefill.
+    /// Prompt tokens per second, shared by all prefilling sequences.
     double prefill_rate = 8'000;
-    /// Most prompt tokens that one step computes.
+    /// Maximum number of prompt tokens computed in one step.
     token_count prefill_chunk = 1'024;
-    /// The time of a step that decodes: a base, and a part for each sequence that decodes.
+    /// Duration of a decoding step: a fixed base plus a share for each decoding sequence.
     core_duration decode_step = std::chrono::milliseconds{15};
     core_duration decode_step_per_sequence = std::chrono::microseconds{500};
 };
@@ -44,7 +45,7 @@
     program_id program;
     std::vector<std::string> prompt;
     token_count max_tokens = 0;
-    /// How long the answer would be by itself; at least one token, at most @a max_tokens are given.
+    /// Natural length of the completion. The engine generates at least one token and at most @a max_tokens.
     token_count answer_tokens = 1;
 };
 
@@ -53,7 +54,7 @@
 struct token_event
 {
     stream_id stream;
-    /// From 0.
+    /// Zero-based index of the token in its stream.
     std::uint64_t index = 0;
     std::string text;
     core_time at;
@@ -63,7 +64,7 @@
 {
     stream_id stream;
     token_usage usage;
-    /// The request can never fit into the engine's memory; nothing was computed.
+    /// The request exceeds the engine's memory capacity; nothing was computed.
     bool too_long = false;
     core_time at;
 };
@@ -75,47 +76,48 @@
 {
     std::uint32_t queued = 0;
     std::uint32_t running = 0;
-    /// Work of queued and running sequences that is still to be done.
+    /// Remaining work of queued and running sequences, in tokens.
     token_count pending_prefill = 0;
     token_count pending_decode = 0;
     token_count cache_used = 0;
     token_count cache_capacity = 0;
 };
 
-/// The engine. Call @ref advance up to the present before any other call with a time.
+/// Discrete-event model of the engine. Call @ref advance with the current time before any other member that
+/// takes a time.
 class engine_model
 {
   public:
     explicit engine_model(const engine_options& options);
 
-    /// Queues a request; the engine admits in order of arrival.
+    /// Queues a request. Requests are admitted to the batch in order of arrival.
     void start(engine_request request, core_time now);
 
-    /// Ends a stream and frees its memory; no event follows.
-    /// @return whether there was such a stream
+    /// Aborts a stream and releases its memory. Emits no event.
+    /// @return whether the stream existed
     bool cancel(const stream_id& stream, core_time now);
 
-    /// Runs all steps that end by @a now.
-    /// @return what happened, in order
+    /// Completes all steps that end at or before @a now.
+    /// @return the resulting events in chronological order
     std::vector<engine_event> advance(core_time now);
 
-    /// @return when the step under way ends, if the engine is not idle
+    /// @return the end of the current step, or nothing if the engine is idle
     [[nodiscard]] std::optional<core_time> next_event_time() const
     {
         return m_step_end;
     }
 
-    /// Frees the cached prefixes of a program, but for those that other programs or running streams use.
+    /// Frees the cached prefixes of a program, except those used by other programs or running streams.
     void free_program(const program_id& program);
 
-    /// @return a program's cached prefix as bytes (what an engine's KV export would be)
+    /// @return the serialized cached prefixes of a program; stands in for an engine's KV cache export
     [[nodiscard]] std::string export_prefix(const program_id& program) const;
 
-    /// Takes over a prefix that another engine exported.
-    /// @return whether @a bytes were valid and all of it fitted
+    /// Imports prefixes exported by another engine.
+    /// @return whether @a bytes were valid and all segments were inserted
     bool import_prefix(const program_id& program, const std::string& bytes, core_time now);
 
-    /// @return the full listing: all programs that hold memory
+    /// @return all programs that occupy cache memory
     [[nodiscard]] std::vector<cached_program> cached_programs() const
     {
         return m_cache.cached_programs();
@@ -128,7 +130,7 @@
         return m_cache.counters();
     }
 
-    /// Makes every later step @a factor times as long (1: as fast as the options say).
+    /// Multiplies the duration of subsequent steps by @a factor; 1 is the configured speed.
     void set_slowdown(double factor)
     {
         m_slowdown = factor;
@@ -142,14 +144,14 @@
         std::vector<prompt_segment> segments;
         token_count prompt_tokens = 0;
         token_count cached_tokens = 0;
-        /// Prompt tokens still to compute, and how many of them the step under way computes.
+        /// Prompt tokens not computed yet, and how many of them the current step computes.
         token_count remaining_prefill = 0;
         token_count scheduled_prefill = 0;
         std::size_t next_segment = 0;
         token_count next_segment_remaining = 0;
         token_count completion_length = 0;
         token_count generated = 0;
-        /// Whether the step under way decodes a token of it.
+        /// Whether the current step decodes a token of this sequence.
         bool decoding = false;
     };
 
@@ -169,7 +171,7 @@
     std::deque<sequence> m_queue;
     std::vector<sequence> m_running;
     std::optional<core_time> m_step_end;
-    /// Events of a step that began outside of @ref advance.
+    /// Events of a step begun outside @ref advance; returned by the next call of @ref advance.
     std::vector<engine_event> m_pending_events;
 };
 
--- a/standins/engine_streams.cpp
+++ b/standins/engine_streams.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// Finished streams that can still be read again.
+/// Maximum number of finished streams kept for replay.
 constexpr std::size_t max_finished = 4096;
 constexpr int status_ok = 200;
 
@@ -56,7 +56,7 @@
     append_event(it->second, nlohmann::json{{"token", event.text}}.dump());
     if (m_drops_remaining > 0 && event.index >= m_drop_threshold)
     {
-        // An exchange that is dropped closes its connection.
+        // Releasing the exchange before the end of the stream closes its connection.
         m_drops_remaining -= 1;
         it->second.subscribers.clear();
     }
--- a/standins/faulty_store.hpp
+++ b/standins/faulty_store.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The platform's store as a test in virtual time drives it: operations wait until the test says what becomes
-/// of them.
+/// The platform's store for tests in virtual time: operations stay pending until the test determines their
+/// outcome.
 #pragma once
 
 #include "platform_store.hpp"
@@ -17,25 +17,27 @@
 namespace masticcourse::standins
 {
 
-/// What becomes of one operation.
+/// Outcome of an operation as chosen by the test.
 enum class op_outcome : std::uint8_t
 {
     completed,
-    /// Refused, nothing done.
+    /// Refused without effect.
     refused,
-    /// Done, but the answer is lost.
+    /// Executed, but the response is lost.
     response_lost,
-    /// Not done, and no answer.
+    /// Not executed; the sender sees an unknown outcome.
     request_lost,
-    /// No answer, and the store gets the operation at some later time.
+    /// The sender sees an unknown outcome, and the operation reaches the store later, see
+    /// @ref faulty_store::apply_delayed_request.
     request_delayed,
-    /// Done, and the answer comes at some later time, when things may have changed.
+    /// Executed, but the response arrives later, when the state may have changed, see
+    /// @ref faulty_store::deliver_delayed_response.
     response_delayed,
 };
 
 inline constexpr std::size_t op_outcome_count = 6;
 
-/// Takes operations from any number of state machines.
+/// Accepts operations from any number of state machines.
 class faulty_store
 {
   public:
@@ -47,32 +49,32 @@
         reply_handler handler;
     };
 
-    /// Puts an operation on its way.
+    /// Adds an operation to the pending ones.
     void send(store_op op, reply_handler handler);
 
-    /// Takes one of the waiting operations back, to send it again later.
+    /// Removes a pending operation, so that the test can send it again later.
     [[nodiscard]] pending_op take(std::size_t index);
 
-    /// @return number of operations on their way, without late ones
+    /// @return the number of pending operations, without delayed requests
     [[nodiscard]] std::size_t pending_count() const;
 
-    /// Lets one of the waiting operations have its fate, and tells its sender unless nothing comes back at
-    /// all.
+    /// Applies @a outcome to a pending operation and calls its handler, unless the response is delayed.
+    /// @param index taken modulo the number of pending operations; likewise below
     void deliver(std::size_t index, op_outcome outcome, core_time now);
 
-    /// Lets the store get one of the late operations, if there are any.
+    /// Executes one of the delayed requests, if there are any.
     void apply_delayed_request(std::size_t index, core_time now);
 
-    /// Hands over one of the slow answers, if there are any.
-    /// @return whether there was one
+    /// Delivers one of the delayed responses, if there are any.
+    /// @return whether a response was delivered
     bool deliver_delayed_response(std::size_t index);
 
-    /// @return how often each fate was met
+    /// @return the number of operations per outcome
     [[nodiscard]] const std::array<std::uint64_t, op_outcome_count>& outcome_counts() const;
 
     [[nodiscard]] platform_store& store();
 
-    /// Called with each operation that the store carries out, and its answer.
+    /// Called with each operation that the store executes, and its reply.
     std::function<void(const store_op&, const store_reply&)> observer;
 
   private:
@@ -91,8 +93,9 @@
     std::array<std::uint64_t, op_outcome_count> m_outcome_counts{};
 };
 
-/// Sends what a state machine asks for, if anything.
-/// @param machine must outlive the answer
+/// Sends the next operation requested by a state machine, if any.
+/// @param machine must outlive the reply
+/// @return whether an operation was sent
 template <typename Machine>
 bool send_next(Machine& machine, faulty_store& store, core_time& now)
 {
@@ -105,7 +108,8 @@
     return op.has_value();
 }
 
-/// Runs a state machine against a store that answers everything, until it asks for nothing more.
+/// Runs a state machine against a store that completes every operation, until it has neither an operation to
+/// send nor a wakeup time.
 template <typename Machine>
 void run_to_completion(Machine& machine, faulty_store& store, core_time& now)
 {
--- a/standins/model_engine_main.cpp
+++ b/standins/model_engine_main.cpp
@@ -1,4 +1,4 @@
-// A stand-in for a model engine: HTTP over the engine model, with faults on command.
+// Stand-in for a model engine: serves the engine model over HTTP, with fault injection.
 #include "engine_http.hpp"
 #include "masticcourse/net/http_server.hpp"
 #include "routes.hpp"
--- a/standins/plain_service.hpp
+++ b/standins/plain_service.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A plain service over HTTP that counts how often each request really ran, with faults on command.
+/// Plain HTTP service that counts the executions of each request, with fault injection.
 #pragma once
 
 #include "masticcourse/net/http_server.hpp"
@@ -20,20 +20,20 @@
 namespace masticcourse::standins
 {
 
-/// Faults that `POST /faults` sets.
+/// Faults set by `POST /faults`.
 struct service_faults
 {
-    /// Requests are neither run nor answered.
+    /// Requests are neither executed nor answered.
     bool hang = false;
-    /// So many requests fail with 500 and do not run.
+    /// Number of subsequent requests that fail with 500 without being executed.
     std::uint32_t fail_next = 0;
-    /// So many requests run, and their connections close without an answer.
+    /// Number of subsequent requests that are executed, but whose connections close without a response.
     std::uint32_t lose_answers = 0;
-    /// Between a request's run and its answer.
+    /// Delay between the execution of a request and its response.
     std::chrono::milliseconds delay{};
 };
 
-/// Serves `POST /v1/invoke`, `GET /stats`, `GET` and `POST /faults`, all on the context's one thread.
+/// Serves `POST /v1/invoke`, `GET /stats`, `GET` and `POST /faults` on the single thread of the context.
 class plain_service
 {
   public:
@@ -41,7 +41,7 @@
 
     void handle(const http_request& request, std::shared_ptr<http_exchange> exchange);
 
-    /// @return the output of a request that ran
+    /// @return the output of an executed request
     [[nodiscard]] static std::string make_output(const std::string& key, const std::string& input);
 
   private:
--- a/standins/plain_service_main.cpp
+++ b/standins/plain_service_main.cpp
@@ -1,4 +1,4 @@
-// A stand-in for a plain service, with faults on command.
+// Stand-in for a plain service, with fault injection.
 #include "plain_service.hpp"
 #include "routes.hpp"
 
--- a/standins/platform_store.hpp
+++ b/standins/platform_store.hpp
@@ -1,6 +1,5 @@
 /// @file
-/// A stand-in for the platform's table service and object store: their semantics in memory, with faults on
-/// command.
+/// In-memory stand-in for the platform's table service and object store, with fault injection.
 #pragma once
 
 #include "masticcourse/core/clock.hpp"
@@ -15,16 +14,16 @@
 namespace masticcourse::standins
 {
 
-/// What goes wrong with the store, until it is changed.
+/// Injected faults; in effect until they are replaced.
 struct store_faults
 {
-    /// Every operation is refused, and nothing is written.
+    /// Every operation is refused without effect.
     bool outage = false;
-    /// How long each answer takes. Only the process keeps to it; in virtual time the test does.
+    /// Delay of each response. Applied only by the HTTP server; in virtual time the test applies it.
     std::chrono::milliseconds delay{};
-    /// So many of the next operations take effect but their answers are lost.
+    /// Number of subsequent operations that take effect but whose responses are lost.
     std::uint32_t lose_answers = 0;
-    /// Above these rates operations are refused. No value: no limit.
+    /// Rate limits above which operations are refused. No value means no limit.
     std::optional<double> writes_per_second;
     std::optional<double> reads_per_second;
 };
@@ -34,12 +33,12 @@
     std::uint64_t reads = 0;
     std::uint64_t writes = 0;
     std::uint64_t conflicts = 0;
-    /// Operations refused by an outage or a rate.
+    /// Operations refused because of an outage or a rate limit.
     std::uint64_t refused = 0;
     std::uint64_t lost_answers = 0;
 };
 
-/// Refuses what comes faster than a rate, after a burst of one second's worth.
+/// Rate limiter that allows bursts of up to one second's worth of operations.
 class token_bucket
 {
   public:
@@ -51,12 +50,12 @@
     std::optional<core_time> m_last_refill;
 };
 
-/// The store itself. Not thread-safe.
+/// In-memory table and object store. Not thread-safe.
 class platform_store
 {
   public:
-    /// Runs one operation.
-    /// @param now the time by which rates are measured; it must not go back
+    /// Executes an operation.
+    /// @param now current time, used for rate limits; must not decrease between calls
     [[nodiscard]] store_reply apply(const store_op& op, core_time now);
 
     [[nodiscard]] const store_faults& faults() const;
--- a/standins/platform_store_main.cpp
+++ b/standins/platform_store_main.cpp
@@ -1,4 +1,4 @@
-// A stand-in for the platform's table service and object store, with faults on command.
+// Stand-in for the platform's table service and object store, with fault injection.
 #include "standin_main.hpp"
 #include "store_http.hpp"
 
--- a/standins/platform_target.cpp
+++ b/standins/platform_target.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// Events of one answer.
+/// Number of events in a streamed response.
 constexpr int events_per_response = 3;
 
 } // namespace
--- a/standins/platform_target.hpp
+++ b/standins/platform_target.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// A target as the users' platform has them: a model engine that streams events, or a plain service; it keeps
-/// what it was asked.
+/// Stand-in for a target of the users' platform: a model engine that streams events, or a plain service.
+/// Records the requests that it executed.
 #pragma once
 
 #include "masticcourse/net/http_server.hpp"
@@ -22,15 +22,15 @@
 class platform_target
 {
   public:
-    /// @param id      its incarnation
-    /// @param streams whether it answers by events
+    /// @param id        incarnation of the target
+    /// @param streaming whether it responds with event streams
     platform_target(boost::asio::io_context& context, const std::string& address, std::string id,
                     bool streaming);
 
     [[nodiscard]] std::uint16_t port() const;
-    /// @return its entry in the registry of targets
+    /// @return the entry of this target in the target registry
     [[nodiscard]] std::string registry_entry(const std::string& service, const std::string& state) const;
-    /// @return the requests that it ran
+    /// @return the executed requests
     [[nodiscard]] std::vector<http_request> requests() const;
 
   private:
--- a/standins/prefix_cache.cpp
+++ b/standins/prefix_cache.cpp
@@ -76,7 +76,7 @@
 
 void prefix_cache::unpin(const std::vector<prompt_segment>& prompt, core_time now)
 {
-    // Children before parents, so that an uncomputed tail can go.
+    // Children before parents, so that an uncomputed tail is removed as a whole.
     for (const auto& it : std::views::reverse(prompt))
     {
         node& segment = m_nodes.at(it.key);
--- a/standins/prefix_cache.hpp
+++ b/standins/prefix_cache.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The prefix cache of the model engine: a trie of prompt segments in bounded memory, least recently used
-/// first out. Programs that share a prefix share its memory.
+/// Prefix cache of the model engine: a trie of prompt segments of bounded size with LRU eviction. Programs
+/// with a common prefix share its memory.
 #pragma once
 
 #include "answer_text.hpp"
@@ -19,21 +19,21 @@
 namespace masticcourse::standins
 {
 
-/// What the cache has cost so far, in tokens.
+/// Cumulative cache statistics, in tokens.
 struct cache_counters
 {
-    /// Prompt tokens that sequences computed.
+    /// Prompt tokens computed by sequences.
     token_count prefilled = 0;
-    /// The part of @a prefilled that had been computed before, and was dropped since: wasted work.
+    /// Portion of @a prefilled that had been computed earlier and was lost since: wasted computation.
     token_count recomputed = 0;
-    /// Prompt tokens that sequences found in the cache.
+    /// Prompt tokens served from the cache.
     token_count reused = 0;
     token_count evicted = 0;
-    /// The part of @a evicted that no sequence ever found: wasted memory.
+    /// Portion of @a evicted that never had a cache hit: wasted memory.
     token_count evicted_unused = 0;
 };
 
-/// One segment of a prompt, with its place in the prompt.
+/// A segment of a prompt, identified by the prefix that ends with it.
 struct prompt_segment
 {
     prefix_key key = empty_prefix;
@@ -41,48 +41,50 @@
     token_count tokens = 0;
 };
 
-/// @return the segments of a prompt, first to last
+/// @return the segments of a prompt in order
 [[nodiscard]] std::vector<prompt_segment> to_segments(const std::vector<std::string>& prompt);
 
-/// The cache. Segments that a running sequence pins are never evicted.
+/// LRU cache of prompt prefixes. Segments pinned by a running sequence are never evicted.
 class prefix_cache
 {
   public:
     explicit prefix_cache(token_count capacity);
 
-    /// @return how many leading segments of @a prompt are held and computed
+    /// @return the number of leading segments of @a prompt that are cached and computed
     [[nodiscard]] std::size_t cached_segments(const std::vector<prompt_segment>& prompt) const;
 
-    /// Makes room for @a tokens by evicting what nothing pins.
-    /// @return whether they fit now
+    /// Evicts unpinned segments, least recently used first, until @a tokens more fit.
+    /// @return whether they fit
     bool make_room(token_count tokens);
 
-    /// @return the tokens of @a prompt that are not held yet, computed or not
+    /// @return the tokens of @a prompt that have no memory allocated yet; segments that are allocated but not
+    /// yet computed are not counted
     [[nodiscard]] token_count missing_tokens(const std::vector<prompt_segment>& prompt) const;
 
-    /// Pins a prompt for a sequence of @a program and holds memory for it. There must be room for it.
-    /// @param cached the leading segments that the sequence need not compute
+    /// Pins a prompt for a sequence of @a program and allocates memory for it. The caller ensures that it
+    /// fits, see @ref make_room.
+    /// @param cached number of leading segments that are already computed
     void pin(const program_id& program, const std::vector<prompt_segment>& prompt, std::size_t cached,
              core_time now);
 
-    /// Ends a pin. Segments that were never computed are dropped.
+    /// Releases a pin. Segments that were never computed are removed.
     void unpin(const std::vector<prompt_segment>& prompt, core_time now);
 
-    /// A sequence has computed this pinned segment.
+    /// Marks a pinned segment as computed.
     void mark_computed(const prompt_segment& segment);
 
-    /// Holds a computed segment that nothing pins, if its parent is held and there is room.
-    /// @return whether it is held
+    /// Inserts a computed, unpinned segment if its parent is cached and it fits.
+    /// @return whether the segment is cached
     bool insert(const program_id& program, const prompt_segment& segment, core_time now);
 
-    /// Memory that is no prefix: the answers of running sequences.
+    /// Reserves memory outside the prefix trie, for the completions of running sequences.
     void reserve(token_count tokens);
     void unreserve(token_count tokens);
 
-    /// Frees what only @a program holds and nothing pins.
+    /// Removes segments that are referenced only by @a program and not pinned.
     void free_program(const program_id& program);
 
-    /// @return all programs that hold memory, in order of their ids
+    /// @return all programs that occupy cache memory, ordered by id
     [[nodiscard]] std::vector<cached_program> cached_programs() const;
 
     /// @return the computed segments of a program, parents first
@@ -123,7 +125,7 @@
         friend auto operator<=>(const eviction_rank&, const eviction_rank&) = default;
     };
 
-    /// Nobody has a use for it any more.
+    /// @return whether a node has no holders, pins or children
     [[nodiscard]] static bool is_unreferenced(const node& n);
     node& find_or_create(const prompt_segment& segment);
     void add_holder(node& n, const program_id& program);
--- a/standins/routes.hpp
+++ b/standins/routes.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What the HTTP stand-ins share: taking a request's path apart, JSON answers, running until a signal.
+/// Utilities of the HTTP stand-ins: path segments, JSON responses, serving until a signal.
 #pragma once
 
 #include "masticcourse/net/http_message.hpp"
@@ -18,16 +18,16 @@
 namespace masticcourse::standins
 {
 
-/// @return the decoded segments of a target's path; one that can't be decoded becomes empty
+/// @return the percent-decoded path segments of a request target; a segment that cannot be decoded is empty
 [[nodiscard]] std::vector<std::string> path_segments(const std::string& target);
 
-/// @return an answer of type `application/json`
+/// @return a response of type `application/json`
 [[nodiscard]] http_response json_response(int status, std::string body);
 
-/// @return `{"error": what}` with @a status
+/// @return a response with @a status and the body `{"error": message}`
 [[nodiscard]] http_response json_error(int status, const std::string& message);
 
-/// Prints where a stand-in takes requests and runs it until SIGINT or SIGTERM, on one thread.
+/// Prints the listening port and runs the context on the calling thread until SIGINT or SIGTERM.
 void serve_until_signal(boost::asio::io_context& context, const http_server& server);
 
 } // namespace masticcourse::standins
--- a/standins/standin_main.hpp
+++ b/standins/standin_main.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What the mains of small HTTP stand-ins share.
+/// Common main function of the small HTTP stand-ins.
 #pragma once
 
 #include "masticcourse/net/http_server.hpp"
@@ -18,10 +18,10 @@
 namespace masticcourse::standins
 {
 
-/// Reads `--listen` and further options, and serves until a signal.
-/// @param about   the program's name and what it is, for the help
-/// @param options what is read besides `--listen` and `--help`
-/// @param make    makes the handler once the options are read
+/// Parses `--listen` and further options, and serves until a signal.
+/// @param description  name and purpose of the program, for the help text
+/// @param options      options besides `--listen` and `--help`
+/// @param make_handler creates the handler after the options are parsed
 /// @return the exit code
 inline int standin_main(int argc, char** argv, const std::string& description,
                         const boost::program_options::options_description& options,
--- a/standins/store_http.cpp
+++ b/standins/store_http.cpp
@@ -76,7 +76,7 @@
     return object_create{key, request.body};
 }
 
-/// The operation that a request asks for, if it is a valid one.
+/// @return the requested operation, or nothing if the request is invalid
 std::optional<store_op> parse_operation(const http_request& request)
 {
     const auto segments = path_segments(request.target);
@@ -114,9 +114,9 @@
     case store_status::ok:
         break;
     case store_status::conflict:
-        return json_error(status_precondition_failed, "the condition does not hold");
+        return json_error(status_precondition_failed, "precondition failed");
     case store_status::not_found:
-        return json_error(status_not_found, "there is none");
+        return json_error(status_not_found, "key not found");
     default:
         return json_error(status_unavailable, "refused");
     }
@@ -130,7 +130,7 @@
     return response;
 }
 
-/// A rate of null means no limit.
+/// @return the rate limit named @a name: absent means unchanged, null means no limit
 std::optional<double> parse_rate(const json& document, const char* name, std::optional<double> current)
 {
     const auto it = document.find(name);
@@ -141,8 +141,8 @@
     return it->is_null() ? std::nullopt : std::optional{it->get<double>()};
 }
 
-/// Reads the members that the document has; the others stay as they are.
-/// @return false if it is no object or a member is of the wrong type
+/// Updates the faults present in the document; the others remain unchanged.
+/// @return false if the body is not a JSON object or a member has the wrong type
 bool parse_faults(const std::string& body, store_faults& faults)
 {
     try
@@ -180,7 +180,7 @@
     const auto operation = parse_operation(request);
     if (!operation)
     {
-        exchange->respond(json_error(status_bad_request, "no such operation"));
+        exchange->respond(json_error(status_bad_request, "unsupported operation"));
         return;
     }
     auto reply = m_store.apply(*operation, monotonic_now());
@@ -197,7 +197,7 @@
 {
     if (reply.status == store_status::outcome_unknown)
     {
-        // Dropping the exchange closes the connection without an answer.
+        // Destroying the exchange closes the connection without a response.
         return;
     }
     if (m_store.faults().delay.count() == 0)
@@ -215,7 +215,8 @@
     auto faults = m_store.faults();
     if (!parse_faults(request.body, faults))
     {
-        exchange.respond(json_error(status_bad_request, "not an object of faults"));
+        exchange.respond(json_error(status_bad_request,
+                                    "faults must be a JSON object with members of the expected types"));
         return;
     }
     m_store.set_faults(faults);
--- a/standins/store_http.hpp
+++ b/standins/store_http.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The platform's table service and object store over HTTP, with faults on command.
+/// HTTP interface of the stand-in for the platform's table service and object store, with fault injection.
 #pragma once
 
 #include "masticcourse/net/http_server.hpp"
@@ -16,8 +16,8 @@
 namespace masticcourse::standins
 {
 
-/// `GET|PUT /table/{key}`, `GET /table?prefix=`, `GET|PUT|DELETE /objects/{key}`, `GET /objects?prefix=`,
-/// `POST /faults`, `GET /stats`. Not thread-safe.
+/// Serves `GET|PUT /table/{key}`, `GET /table?prefix=`, `GET|PUT|DELETE /objects/{key}`,
+/// `GET /objects?prefix=`, `POST /faults`, `GET /stats`. Not thread-safe.
 class store_http
 {
   public:
--- a/standins/table_service.cpp
+++ b/standins/table_service.cpp
@@ -18,7 +18,7 @@
 
 using nlohmann::json;
 
-/// How often waiting feeds are looked at for their end.
+/// Interval at which pending feeds are checked for expiry.
 constexpr std::chrono::milliseconds feed_poll_interval{10};
 
 std::string query_parameter(const http_request& request, std::string_view name)
--- a/standins/table_service.hpp
+++ b/standins/table_service.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The users' platform's store over HTTP, small and in memory: rows with versions, conditional transactions,
-/// a feed, and faults on command.
+/// In-memory stand-in for the HTTP row store of the users' platform: versioned rows, conditional
+/// transactions, a change feed, fault injection.
 #pragma once
 
 #include "masticcourse/net/http_server.hpp"
@@ -22,38 +22,38 @@
 namespace masticcourse::standins
 {
 
-/// How calls end while it is set.
+/// Injected fault; in effect until replaced.
 enum class table_fault : std::uint8_t
 {
     none,
-    /// 503 at once; nothing is done.
+    /// Responds with 503 immediately; the call has no effect.
     refuse,
-    /// 429 at once; nothing is done.
+    /// Responds with 429 immediately; the call has no effect.
     rate_limit,
-    /// Writes are done, their answers never come.
+    /// Writes take effect, but are never answered.
     lose_answers,
-    /// Nothing is done and nothing comes.
+    /// Calls have no effect and are never answered.
     unresponsive,
 };
 
 class table_service
 {
   public:
-    /// @param address "ip:port"; port 0 takes any free one
+    /// @param address "ip:port"; port 0 selects any free port
     table_service(boost::asio::io_context& context, const std::string& address);
 
     [[nodiscard]] std::uint16_t port() const;
 
-    /// Writes a row as the operator or a target would.
-    /// @param document the value, not encoded
+    /// Writes a row on behalf of the operator or a target.
+    /// @param document the unencoded value
     void put(const std::string& table, const std::string& key, const std::string& document);
     void remove(const std::string& table, const std::string& key);
 
     void set_fault(table_fault fault);
-    /// Forgets all changes so far: feeds that go on from before are told so.
+    /// Discards the change history. Feeds that resume from before this point are answered with 410.
     void truncate_history();
 
-    /// @return calls answered or not, since the start
+    /// @return the number of calls received since the start, answered or not
     [[nodiscard]] std::uint64_t calls() const;
 
   private:
@@ -66,7 +66,7 @@
     };
     struct row
     {
-        /// Base64, as it came.
+        /// Base64, as received.
         std::string value;
         std::uint64_t version = 0;
         bool removed = false;
@@ -91,14 +91,14 @@
     boost::asio::io_context& m_context;
     std::mutex m_mutex;
     std::map<row_id, row> m_rows;
-    /// Every change in order; removed rows stay in it.
+    /// All changes in order, including removals.
     std::vector<std::pair<row_id, row>> m_history;
     std::uint64_t m_truncated_version = 0;
     std::uint64_t m_version = 0;
     std::uint64_t m_calls = 0;
     table_fault m_fault = table_fault::none;
     std::vector<pending_feed> m_feeds;
-    /// Exchanges that never get an answer.
+    /// Exchanges that are kept open and never answered.
     std::vector<std::shared_ptr<http_exchange>> m_unanswered;
     std::unique_ptr<http_server> m_server;
 };
--- a/standins/users_platform_main.cpp
+++ b/standins/users_platform_main.cpp
@@ -1,5 +1,5 @@
-// A site of the users' platform on loopback: its store, one model engine, one plain service, a configuration.
-// What the targets were asked is printed at the end.
+// Stand-in for a site of the users' platform on the loopback interface: its store, one model engine, one
+// plain service and a configuration. Prints the requests received by the targets on exit.
 #include "platform_target.hpp"
 #include "table_service.hpp"
 
--- a/standins/vm_list.cpp
+++ b/standins/vm_list.cpp
@@ -23,7 +23,7 @@
     {
         m_versions.pop_front();
     }
-    // The first list ever said is shown at once: a platform starts with one.
+    // The first list is visible immediately: a platform has a list from its start.
     return m_versions.empty() ? "[]" : m_versions.front().list;
 }
 
@@ -31,7 +31,7 @@
 {
     if (request.target != "/vms")
     {
-        exchange->respond(json_error(status_not_found, "there is only /vms"));
+        exchange->respond(json_error(status_not_found, "unknown path"));
     }
     else if (request.method == "GET")
     {
@@ -44,7 +44,7 @@
     }
     else
     {
-        exchange->respond(json_error(status_method_not_allowed, "GET or PUT"));
+        exchange->respond(json_error(status_method_not_allowed, "method not allowed; expected GET or PUT"));
     }
 }
 
--- a/standins/vm_list.hpp
+++ b/standins/vm_list.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A stand-in for the platform's list of VMs, which lags.
+/// Stand-in for the platform's list of VMs, which lags behind the actual state.
 #pragma once
 
 #include "masticcourse/net/http_server.hpp"
@@ -12,11 +12,11 @@
 namespace masticcourse::standins
 {
 
-/// `GET /vms` shows what `PUT /vms` said a while ago. Not thread-safe.
+/// `GET /vms` returns the list set by `PUT /vms`, after a lag. Not thread-safe.
 class vm_list
 {
   public:
-    /// @param lag how old what is shown is
+    /// @param lag age of the returned list
     explicit vm_list(std::chrono::milliseconds lag);
 
     void handle(const http_request& request, const std::shared_ptr<http_exchange>& exchange);
--- a/standins/vm_list_main.cpp
+++ b/standins/vm_list_main.cpp
@@ -1,4 +1,4 @@
-// A stand-in for the platform's list of VMs.
+// Stand-in for the platform's list of VMs.
 #include "standin_main.hpp"
 #include "vm_list.hpp"
 
--- a/tests/unit/test_engine_model.cpp
+++ b/tests/unit/test_engine_model.cpp
@@ -1,4 +1,4 @@
-// The model engine of the stand-ins: batching, cache, eviction, cancel.
+// Simulated model engine: batching, prefix cache, eviction, cancellation, export and import of prefixes.
 #include "engine_model.hpp"
 
 #include <doctest/doctest.h>
@@ -14,7 +14,7 @@
 namespace
 {
 
-/// @a words words that no other @a name shares.
+/// @return @a words words that are unique to @a name
 std::string make_text(const std::string& name, token_count words)
 {
     std::string text;
@@ -35,7 +35,7 @@
             .answer_tokens = completion_tokens};
 }
 
-/// What came out of the engine, per stream.
+/// Output of the engine for one stream.
 struct stream_result
 {
     std::string text;
@@ -82,7 +82,7 @@
 TEST_CASE("engine model batches")
 {
     engine_model engine{small_engine};
-    SUBCASE("one sequence: prefill at the rate, then one token a step")
+    SUBCASE("one sequence prefills at the configured rate, then decodes one token per step")
     {
         engine.start(make_request("a", {make_text("x", 20)}, 3), {});
         const auto results = run_until_idle(engine);
@@ -91,7 +91,7 @@
         CHECK(results.at("a").finished == core_time{42ms});
         CHECK(results.at("a").usage == token_usage{.prompt = 20, .cached = 0, .completion = 3});
     }
-    SUBCASE("two sequences make each step longer, but less than two alone")
+    SUBCASE("two batched sequences take longer than one, but less than two run in turn")
     {
         engine.start(make_request("a", {make_text("x", 10)}, 11), {});
         engine.start(make_request("b", {make_text("y", 10)}, 11), {});
@@ -99,7 +99,7 @@
         CHECK(results.at("b").finished > core_time{120ms});
         CHECK(results.at("b").finished < core_time{200ms});
     }
-    SUBCASE("a third waits for a place in the batch")
+    SUBCASE("a third sequence queues until the batch has a free slot")
     {
         for (const auto* name : {"a", "b", "c"})
         {
@@ -111,7 +111,7 @@
         const auto results = run_until_idle(engine);
         CHECK(results.at("c").first > results.at("a").finished);
     }
-    SUBCASE("a slowed engine takes that much longer")
+    SUBCASE("a slowdown multiplies the step duration")
     {
         engine.set_slowdown(3);
         engine.start(make_request("a", {make_text("x", 10)}, 1), {});
@@ -130,11 +130,11 @@
     };
     const std::string head = make_text("h", 20);
     const std::string first_completion = completion_text(std::vector{head}, 4);
-    const std::array table{row{"another prompt", {head}, {make_text("other", 20)}, 0},
-                           row{"the same prompt", {head}, {head}, 20},
-                           row{"a longer prompt", {head}, {head, make_text("t", 5)}, 20},
-                           row{"the answer too", {head}, {head, first_completion, make_text("t", 5)}, 24},
-                           row{"only a leading run", {head}, {make_text("t", 5), head}, 0}};
+    const std::array table{
+        row{"different prompt", {head}, {make_text("other", 20)}, 0}, row{"same prompt", {head}, {head}, 20},
+        row{"extended prompt", {head}, {head, make_text("t", 5)}, 20},
+        row{"prompt including the completion", {head}, {head, first_completion, make_text("t", 5)}, 24},
+        row{"shared segment not at the start", {head}, {make_text("t", 5), head}, 0}};
     for (const auto& it : table)
     {
         CAPTURE(it.name);
@@ -148,10 +148,10 @@
     }
 }
 
-TEST_CASE("engine model holds bounded memory")
+TEST_CASE("engine model bounds its memory")
 {
     engine_model engine{small_engine};
-    SUBCASE("the least recently used prefix goes first, and computing it again is counted")
+    SUBCASE("the least recently used prefix is evicted first, and its recomputation is counted")
     {
         core_time now;
         for (const auto* name : {"a", "b", "a", "c"})
@@ -168,7 +168,7 @@
         CHECK(run_until_idle(engine).at("b").usage.cached == 0);
         CHECK(engine.counters().recomputed == 40);
     }
-    SUBCASE("siblings share a prefix's memory")
+    SUBCASE("programs with a common prefix share its memory")
     {
         engine.start(make_request("a", {make_text("h", 60), "x"}, 1), {});
         engine.start(make_request("b", {make_text("h", 60), "y"}, 1), {});
@@ -181,7 +181,7 @@
         CHECK(engine.load().cache_used == 0);
         CHECK(engine.cached_programs().empty());
     }
-    SUBCASE("what can never fit is refused, and the next goes on")
+    SUBCASE("a request over the memory capacity is rejected, and the next one proceeds")
     {
         engine.start(make_request("a", {make_text("x", 99)}, 2), {});
         engine.start(make_request("b", {make_text("y", 9)}, 2), {});
@@ -189,7 +189,7 @@
         CHECK(results.at("a").too_long);
         CHECK_FALSE(results.at("b").too_long);
     }
-    SUBCASE("a sequence waits until there is memory for it")
+    SUBCASE("a sequence queues until enough memory is free")
     {
         engine.start(make_request("a", {make_text("x", 50)}, 10), {});
         engine.start(make_request("b", {make_text("y", 50)}, 10), {});
@@ -198,15 +198,15 @@
     }
 }
 
-TEST_CASE("engine model cancels and frees")
+TEST_CASE("engine model cancels streams and frees their memory")
 {
     struct row
     {
         const char* name;
         core_time at;
     };
-    constexpr std::array table{row{"while it prefills", core_time{15ms}},
-                               row{"while it decodes", core_time{60ms}}};
+    constexpr std::array table{row{"during prefill", core_time{15ms}},
+                               row{"during decoding", core_time{60ms}}};
     for (const auto& it : table)
     {
         CAPTURE(it.name);
@@ -230,7 +230,7 @@
         CHECK(engine.cancel({"c"}, {}));
         CHECK(run_until_idle(engine).size() == 2);
     }
-    SUBCASE("memory freed under a running stream goes when the stream ends")
+    SUBCASE("memory of a running stream is freed only after the stream ends")
     {
         engine_model engine{small_engine};
         engine.start(make_request("a", {make_text("x", 5)}, 5), {});
