--- a/src/cli/check_command.cpp
+++ b/src/cli/check_command.cpp
@@ -65,7 +65,7 @@
         write_faults({}, true, output);
         return exit_code::ok;
     }
-    output.out << path << ": valid (" << settings.customer << ": " << settings.entries.size() << " entries, "
+    output.out << path << ": good (" << settings.customer << ": " << settings.entries.size() << " entries, "
                << settings.targets.size() << " targets, " << settings.workspaces.size() << " workspaces)\n";
     return exit_code::ok;
 }
--- a/src/input/guarded_json.cpp
+++ b/src/input/guarded_json.cpp
@@ -58,7 +58,7 @@
     {
         if (!m_member_names.back().insert(name).second)
         {
-            m_error = "member appears twice: " + name;
+            m_error = "a member stands twice: " + name;
         }
     }
 
@@ -84,7 +84,7 @@
     }
     if (value.is_discarded())
     {
-        return {{}, "not valid UTF-8 encoded JSON"};
+        return {{}, "no JSON in UTF-8"};
     }
     return {std::move(value), {}};
 }
--- a/src/input/json_input.cpp
+++ b/src/input/json_input.cpp
@@ -87,7 +87,7 @@
     if (key.empty() || key.value.size() > max_key_length)
     {
         return {{std::string{idempotency_key_header},
-                 "length must be from 1 to " + std::to_string(max_key_length) + " bytes"}};
+                 "must have from 1 to " + std::to_string(max_key_length) + " bytes"}};
     }
     return {};
 }
--- a/src/input/json_members.cpp
+++ b/src/input/json_members.cpp
@@ -45,12 +45,12 @@
 {
     if (!value.is_string())
     {
-        return "must be a string";
+        return "must be a text";
     }
     const auto size = static_cast<std::int64_t>(value.get_ref<const std::string&>().size());
     if (size < rule.minimum || size > rule.maximum)
     {
-        return "length must be " + describe_range(rule) + " bytes";
+        return "must have " + describe_range(rule) + " bytes";
     }
     return std::nullopt;
 }
@@ -59,7 +59,7 @@
 {
     if (!value.is_string())
     {
-        return "must be a string";
+        return "must be a text";
     }
     return validate_text(text_format::name, value.get_ref<const std::string&>());
 }
--- a/src/settings/config_document.cpp
+++ b/src/settings/config_document.cpp
@@ -96,7 +96,7 @@
         const std::string element = detail::member_pointer(pointer, name);
         if (const auto error = detail::validate_text(detail::text_format::name, name))
         {
-            errors.push_back({element, "name " + *error});
+            errors.push_back({element, "its name " + *error});
         }
         detail::check_members(value, element, rule.rules, errors);
     }
@@ -259,12 +259,12 @@
     auto base = detail::parse_bounded_json(document, max_config_size);
     if (!base.error.empty())
     {
-        return make_error("current document: " + base.error);
+        return make_error("the document in force: " + base.error);
     }
     const auto parsed_patch = detail::parse_bounded_json(patch, max_config_size);
     if (!parsed_patch.error.empty())
     {
-        return make_error("patch: " + parsed_patch.error);
+        return make_error("the patch: " + parsed_patch.error);
     }
     base.value.merge_patch(parsed_patch.value);
     return validate_and_serialize(base.value);
--- a/standins/engine_http.cpp
+++ b/standins/engine_http.cpp
@@ -169,12 +169,12 @@
         }
         if (!accept_fencing_number(completion.program.value, body.value("order", std::uint64_t{0})))
         {
-            exchange->respond(json_error(status_conflict, "stale fencing number"));
+            exchange->respond(json_error(status_conflict, "order is too old"));
             return;
         }
         if (!m_streams.create(completion.stream))
         {
-            exchange->respond(json_error(status_conflict, "stream already exists"));
+            exchange->respond(json_error(status_conflict, "there is such a stream"));
             return;
         }
         m_streams.subscribe(completion.stream, std::nullopt, std::move(exchange));
@@ -253,14 +253,13 @@
         const json body = json::parse(request.body, nullptr, false);
         if (!body.is_object() || !body.contains("order"))
         {
-            exchange.respond(
-                json_error(status_bad_request, "request body must be a JSON object with the field order"));
+            exchange.respond(json_error(status_bad_request, "no order"));
             return;
         }
         const std::string order = body["order"].dump();
         if (!accept_fencing_number("order", body.value("fencing", std::uint64_t{0})))
         {
-            exchange.respond(json_error(status_conflict, "stale fencing number"));
+            exchange.respond(json_error(status_conflict, "order is too old"));
             return;
         }
         exchange.respond(json_response(status_ok, json{{"taken", order}}.dump()));
@@ -271,7 +270,7 @@
         const json body = json::parse(request.body, nullptr, false);
         if (!body.is_object())
         {
-            exchange.respond(json_error(status_bad_request, "request body must be a JSON object"));
+            exchange.respond(json_error(status_bad_request, "no faults"));
             return;
         }
         if (body.value("die", false))
--- a/standins/plain_service.cpp
+++ b/standins/plain_service.cpp
@@ -68,7 +68,7 @@
     const json body = json::parse(request.body, nullptr, false);
     if (!body.is_object() || !body.contains("key") || !body.contains("program"))
     {
-        exchange->respond(json_error(status_bad_request, "key and program are required"));
+        exchange->respond(json_error(status_bad_request, "key and program are needed"));
         return;
     }
     if (m_faults.hang)
@@ -78,7 +78,7 @@
     }
     if (consume_one(m_faults.fail_next))
     {
-        exchange->respond(json_error(status_failed, "injected failure"));
+        exchange->respond(json_error(status_failed, "failed on command"));
         return;
     }
     const auto key = body.value("key", std::string{});
@@ -109,7 +109,7 @@
     const json body = json::parse(request.body, nullptr, false);
     if (!body.is_object())
     {
-        exchange.respond(json_error(status_bad_request, "request body must be a JSON object"));
+        exchange.respond(json_error(status_bad_request, "no faults"));
         return;
     }
     m_faults = {.hang = body.value("hang", false),
--- a/standins/store_http.cpp
+++ b/standins/store_http.cpp
@@ -114,9 +114,9 @@
     case store_status::ok:
         break;
     case store_status::conflict:
-        return json_error(status_precondition_failed, "precondition failed");
+        return json_error(status_precondition_failed, "the condition does not hold");
     case store_status::not_found:
-        return json_error(status_not_found, "key not found");
+        return json_error(status_not_found, "there is none");
     default:
         return json_error(status_unavailable, "refused");
     }
@@ -180,7 +180,7 @@
     const auto operation = parse_operation(request);
     if (!operation)
     {
-        exchange->respond(json_error(status_bad_request, "unsupported operation"));
+        exchange->respond(json_error(status_bad_request, "no such operation"));
         return;
     }
     auto reply = m_store.apply(*operation, monotonic_now());
@@ -215,8 +215,7 @@
     auto faults = m_store.faults();
     if (!parse_faults(request.body, faults))
     {
-        exchange.respond(json_error(status_bad_request,
-                                    "faults must be a JSON object with members of the expected types"));
+        exchange.respond(json_error(status_bad_request, "not an object of faults"));
         return;
     }
     m_store.set_faults(faults);
--- a/standins/vm_list.cpp
+++ b/standins/vm_list.cpp
@@ -31,7 +31,7 @@
 {
     if (request.target != "/vms")
     {
-        exchange->respond(json_error(status_not_found, "unknown path"));
+        exchange->respond(json_error(status_not_found, "there is only /vms"));
     }
     else if (request.method == "GET")
     {
@@ -44,7 +44,7 @@
     }
     else
     {
-        exchange->respond(json_error(status_method_not_allowed, "method not allowed; expected GET or PUT"));
+        exchange->respond(json_error(status_method_not_allowed, "GET or PUT"));
     }
 }
 
