--- a/include/masticcourse/gateway/collected_rows.hpp
+++ b/include/masticcourse/gateway/collected_rows.hpp
@@ -10,7 +10,7 @@
 #pragma once
 
 #include "masticcourse/gateway/peer_directory.hpp"
-#include "masticcourse/gateway/row_memory.hpp"
+#include "masticcourse/gateway/row_cache.hpp"
 #include "masticcourse/gateway/row_store.hpp"
 
 #include <functional>
--- a/include/masticcourse/gateway/commit_queue.hpp
+++ b/include/masticcourse/gateway/commit_queue.hpp
@@ -7,7 +7,7 @@
 /// share transactions.
 #pragma once
 
-#include "masticcourse/gateway/row_memory.hpp"
+#include "masticcourse/gateway/row_cache.hpp"
 #include "masticcourse/gateway/row_store.hpp"
 
 #include <deque>
--- a/src/gateway/row_memory.cpp
+++ b/src/gateway/row_cache.cpp
@@ -1,4 +1,4 @@
-#include "masticcourse/gateway/row_memory.hpp"
+#include "masticcourse/gateway/row_cache.hpp"
 
 #include <iterator>
 
